--- a/worker/entry.go
+++ b/worker/entry.go
@@ -7,94 +7,95 @@
 	"masticbay/work"
 )
 
-// Event tells an entry how a run of its own ended.
+// Event reports to an entry how one of its runs ended.
 type Event struct {
 	Seq        uint64
 	Run        work.Run
 	End        work.End
-	Reason     string        // for Refused: why
+	Reason     string        // of a refusal
 	Took       time.Duration // from the order to the end
 	Checkpoint string        // from which the task can resume; empty if there is none
 	Stored     bool          // its job is stored
-	number     uint64        // under which the worker lists the end until it is saved; 0 if it need not
+	endNumber  uint64        // under which the worker lists the end until it is committed; 0 if it need not be retained
 }
 
-type session struct {
-	heard  time.Time // agent's own time that the entry echoed last
-	events []Event
-	seq    uint64
+// homeState is the contact with an entry that sends orders, and its events.
+type homeState struct {
+	lastContact time.Time // latest time of the agent's clock that the entry has echoed
+	events      []Event
+	lastSeq     uint64
 }
 
-// Hear notes that an entry has echoed the agent's own time.
+// Hear records contact with an entry: the entry has echoed a time of the agent's clock.
 func (g *Guard) Hear(entry string, echo time.Time) {
-	s := g.session(entry)
-	if echo.After(s.heard) {
-		s.heard = echo
+	s := g.homeState(entry)
+	if echo.After(s.lastContact) {
+		s.lastContact = echo
 	}
 }
 
-func (g *Guard) session(entry string) *session {
-	s, ok := g.sessions[entry]
+func (g *Guard) homeState(entry string) *homeState {
+	s, ok := g.homes[entry]
 	if !ok {
-		s = &session{}
-		g.sessions[entry] = s
+		s = &homeState{}
+		g.homes[entry] = s
 	}
 	return s
 }
 
-func (g *Guard) tell(entry string, e Event) {
-	s := g.session(entry)
-	s.seq++
-	e.Seq = s.seq
+func (g *Guard) addEvent(entry string, e Event) {
+	s := g.homeState(entry)
+	s.lastSeq++
+	e.Seq = s.lastSeq
 	s.events = append(s.events, e)
 }
 
-// Events returns the events of an entry after acked, and forgets earlier ones.
+// Events returns the events of an entry after acked, and removes the earlier ones.
 func (g *Guard) Events(entry string, acked uint64) []Event {
-	s := g.session(entry)
+	s := g.homeState(entry)
 	i := 0
 	for i < len(s.events) && s.events[i].Seq <= acked {
-		g.saved(s.events[i].number)
+		g.endCommitted(s.events[i].endNumber)
 		i++
 	}
 	s.events = slices.Delete(s.events, 0, i)
 	return slices.Clone(s.events)
 }
 
-// Tick stops the runs of entries that have been silent, and forgets entries
-// that have been so for long. It is called several times in each Contact.
+// Tick stops the runs of entries that are out of contact, and later removes those
+// entries. It must be called several times within Config.EntryContactTimeout.
 func (g *Guard) Tick(now time.Time) (stopped []work.Run) {
-	if g.silent {
-		g.expire(now)
+	if g.outOfContact {
+		g.expireRuns(now)
 	}
-	for _, ref := range g.refs() {
+	for _, ref := range g.sortedTasks() {
 		r := g.runs[ref]
-		s := g.sessions[r.entry]
-		if r.stopped.IsZero() && now.Sub(s.heard) > g.contact(r) {
+		s := g.homes[r.entry]
+		if r.stopRequestedAt.IsZero() && now.Sub(s.lastContact) > g.maxSilence(r) {
 			g.stop(now, r)
 			stopped = append(stopped, r.start.Run)
 		}
 	}
-	g.voidSilent(now)
-	g.lapsed(now)
-	for name, s := range g.sessions {
-		if now.Sub(s.heard) > g.cfg.Forget && !g.serves(name) {
-			delete(g.sessions, name)
+	g.expireOutOfContact(now)
+	g.resumeRenewal(now)
+	for name, s := range g.homes {
+		if now.Sub(s.lastContact) > g.cfg.Forget && !g.hasRuns(name) {
+			delete(g.homes, name)
 		}
 	}
 	return stopped
 }
 
-// contact returns how long the entry of a run may be silent. Another one may take
-// over runs of stored jobs, which takes longer than to give them up.
-func (g *Guard) contact(r *run) time.Duration {
+// maxSilence returns how long a run continues without contact to its entry. Another
+// entry may take over runs of stored jobs, which takes longer than to declare them lost.
+func (g *Guard) maxSilence(r *run) time.Duration {
 	if r.start.Stored {
 		return g.cfg.Handover
 	}
 	return g.cfg.Contact
 }
 
-func (g *Guard) serves(entry string) bool {
+func (g *Guard) hasRuns(entry string) bool {
 	for _, r := range g.runs {
 		if r.entry == entry {
 			return true
--- a/worker/order.go
+++ b/worker/order.go
@@ -6,54 +6,54 @@
 	"masticbay/work"
 )
 
-// Order is a call to the worker that the agent has to make.
+// Order is a call to the worker that the agent must make.
 type Order struct {
 	Stop  bool
-	Start work.Start // of a stop only Run is set
+	Start work.Start // a stop sets only Run
 	Token uint64
-	Until time.Duration // on the worker's clock
+	Until time.Duration // end of the lease, on the worker's clock
 }
 
-// Order takes starts and stops from an entry. Starts that are not taken are
-// told as events at once.
+// Order takes starts and stops from an entry. Starts that are refused produce
+// events at once.
 func (g *Guard) Order(now time.Time, entry string, echo time.Time, starts []work.Start, stops []work.Run) {
 	g.Hear(entry, echo)
 	for _, r := range stops {
-		if have, ok := g.runs[r.Task]; ok && have.start.Run == r {
-			g.stop(now, have)
+		if known, ok := g.runs[r.Task]; ok && known.start.Run == r {
+			g.stop(now, known)
 		}
 	}
 	for _, s := range starts {
-		if why := g.refusal(now, entry, echo, &s); why != "" {
-			g.tell(entry, Event{Run: s.Run, End: work.Refused, Reason: why})
+		if reason := g.refusalReason(now, entry, echo, &s); reason != "" {
+			g.addEvent(entry, Event{Run: s.Run, End: work.Refused, Reason: reason})
 			continue
 		}
-		r := &run{start: s, entry: entry, sent: now}
+		r := &run{start: s, entry: entry, orderedAt: now}
 		g.runs[s.Run.Task] = r
-		g.send(now, r)
+		g.sendStart(now, r)
 	}
 }
 
-// The reasons with which an agent refuses a start by itself.
+// The reasons for which an agent itself refuses a start.
 const (
-	Unready   = "unready"   // the worker is not known, drains, or is silent
-	Untenured = "untenured" // the entry does not hold the ledger, as far as is known here
-	StaleEcho = "staleEcho" // the order may have been on its way for long
+	Unready   = "unready"   // the worker is unknown, draining or out of contact
+	Untenured = "untenured" // the agent does not know the entry as holder of the ledger
+	StaleEcho = "staleEcho" // the order may have been in transit for too long
 	Occupied  = "occupied"  // another run of the task has not ended here
 	NoRoom    = "noRoom"
 )
 
-func (g *Guard) refusal(now time.Time, entry string, echo time.Time, s *work.Start) string {
+func (g *Guard) refusalReason(now time.Time, entry string, echo time.Time, s *work.Start) string {
 	all, _ := g.Used("")
-	_, twice := g.runs[s.Run.Task]
+	_, occupied := g.runs[s.Run.Task]
 	switch {
-	case !g.known || g.leaving || g.target.Draining || g.silent || g.token == 0 || !g.lapsing.IsZero():
+	case !g.hasTarget || g.leaving || g.target.Draining || g.outOfContact || g.token == 0 || !g.renewalPausedAt.IsZero():
 		return Unready
-	case s.Stored && !g.owns(now, entry):
+	case s.Stored && !g.holdsTenure(now, entry):
 		return Untenured
 	case now.Sub(echo) > g.cfg.OrderLife:
 		return StaleEcho
-	case twice:
+	case occupied:
 		return Occupied
 	case !g.target.Capacity.Sub(all).Holds(s.Room):
 		return NoRoom
@@ -61,18 +61,18 @@
 	return ""
 }
 
-func (g *Guard) send(now time.Time, r *run) {
+func (g *Guard) sendStart(now time.Time, r *run) {
 	r.phase, r.token = ordered, g.token
 	g.orders = append(g.orders, Order{Start: r.start, Token: g.token, Until: g.Until(now)})
 }
 
 func (g *Guard) stop(now time.Time, r *run) {
 	if r.phase == ordered || r.phase == unclear {
-		// The answer decides first; the look after it repeats the stop.
-		r.stopped = now
+		// The answer to the start decides first; a later poll repeats the stop.
+		r.stopRequestedAt = now
 		return
 	}
-	r.phase, r.stopped = stopping, now
+	r.phase, r.stopRequestedAt = stopping, now
 	g.orders = append(g.orders, Order{Stop: true, Start: work.Start{Run: r.start.Run}, Token: g.token})
 }
 
@@ -83,37 +83,37 @@
 	return o
 }
 
-// Started takes the worker's answer to a start. An empty reason means that it
-// was taken; fence means that the worker has seen a higher token.
-func (g *Guard) Started(now time.Time, r work.Run, reason string, fenced bool) {
-	have, ok := g.runs[r.Task]
-	if !ok || have.start.Run != r || have.phase != ordered {
+// Started processes the worker's answer to a start. An empty reason means that the
+// worker accepted it; tokenRejected means that it has seen a higher token.
+func (g *Guard) Started(now time.Time, r work.Run, reason string, tokenRejected bool) {
+	known, ok := g.runs[r.Task]
+	if !ok || known.start.Run != r || known.phase != ordered {
 		return
 	}
 	switch {
 	case reason == "":
-		have.phase = running
-		if !have.stopped.IsZero() {
-			g.stop(now, have)
+		known.phase = running
+		if !known.stopRequestedAt.IsZero() {
+			g.stop(now, known)
 		}
-	case fenced && have.token < g.token && have.stopped.IsZero():
-		g.send(now, have)
+	case tokenRejected && known.token < g.token && known.stopRequestedAt.IsZero():
+		g.sendStart(now, known)
 	default:
-		if fenced {
-			g.Fenced(now, 0, have.token)
+		if tokenRejected {
+			g.Fenced(now, 0, known.token)
 		}
 		g.finish(now, r.Task, work.Refused, reason)
 	}
 }
 
-// Unanswered notes that a start got no answer, so that the token must rise.
+// Unanswered records that a start got no answer. The token must then rise.
 func (g *Guard) Unanswered(r work.Run) {
-	have, ok := g.runs[r.Task]
-	if !ok || have.start.Run != r || have.phase != ordered {
+	known, ok := g.runs[r.Task]
+	if !ok || known.start.Run != r || known.phase != ordered {
 		return
 	}
-	have.phase = unclear
-	if have.token >= g.token {
-		g.raise()
+	known.phase = unclear
+	if known.token >= g.token {
+		g.raiseToken()
 	}
 }
--- a/worker/pace.go
+++ b/worker/pace.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Pace is how long the worker's runs take against their estimates.
+// Pace is how the run times of the worker compare with their estimates.
 type Pace struct {
 	Runs int     // at most paceWindow
 	Log  float64 // mean of the logarithm of run time over estimate
 }
 
-// paceWindow is the number of runs that the mean looks back on.
+// paceWindow is the number of recent runs that the mean covers.
 const paceWindow = 40
 
 func (p *Pace) add(took, estimate time.Duration) {
@@ -22,5 +22,5 @@
 	p.Log += (math.Log(float64(took)/float64(estimate)) - p.Log) / float64(p.Runs)
 }
 
-// Pace returns how long the worker's runs took in its present life.
+// Pace returns the pace of the worker in its present incarnation.
 func (g *Guard) Pace() Pace { return g.pace }
--- /dev/null
+++ b/worker/poll.go
@@ -0,0 +1,209 @@
+package worker
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"time"
+
+	"masticbay/work"
+)
+
+// maxClockDrift bounds how much slower the worker's clock may run, as a factor.
+const maxClockDrift = 1.03
+
+// leaseSlack is added to the time at which a lease is known to have expired.
+const leaseSlack = 20 * time.Millisecond
+
+// leaseExpiry returns when every lease that was requested has expired.
+func (g *Guard) leaseExpiry() time.Time {
+	remaining := time.Duration(float64(g.maxLeaseUntil-g.workerClock) * maxClockDrift)
+	return g.clockReadAt.Add(remaining + leaseSlack)
+}
+
+// Look is the state of a worker as the answer to a poll shows it.
+type Look struct {
+	Token   uint64 // of the poll
+	Born    int64
+	Clock   time.Duration
+	Running map[work.Run]int    // percent of the work done
+	Saved   map[work.Run]string // of active runs that have one
+	Ended   []Ended             // by ascending number
+}
+
+// Ended is an end that the worker lists.
+type Ended struct {
+	Number uint64
+	Run    work.Run
+	End    work.End
+	Saved  string // checkpoint; empty if there is none
+}
+
+// Fenced records that the worker has seen a higher token than the one it was
+// polled with. The worker does not say which, so the token rises by more with each
+// consecutive rejection.
+func (g *Guard) Fenced(now time.Time, clock time.Duration, askedToken uint64) {
+	g.updateClock(now, clock)
+	if askedToken < g.token {
+		return // it has risen since
+	}
+	g.tokenStep = max(2*g.tokenStep, firstTokenStep)
+	g.token += g.tokenStep
+	g.raiseToken()
+}
+
+// firstTokenStep is how much the token rises after a first rejection. Doubling it
+// reaches the highest token of an incarnation of an hour in 19 rejections.
+const firstTokenStep = 8
+
+// Looked processes the answer to a poll.
+func (g *Guard) Looked(now time.Time, snapshot Look) {
+	g.workerRestarted(now, snapshot.Born, snapshot.Clock)
+	if snapshot.Born != 0 && snapshot.Born < g.target.Born {
+		return
+	}
+	g.initialise(now)
+	g.updateClock(now, snapshot.Clock)
+	g.takeFirstSnapshot(now, &snapshot)
+	g.outOfContact, g.lastPoll = false, now
+	if g.token == 0 {
+		g.raiseToken()
+	}
+	g.ackedToken, g.tokenStep = max(g.ackedToken, snapshot.Token), 0
+	for _, e := range snapshot.Ended {
+		if e.Number <= g.lastEnd {
+			continue
+		}
+		g.lastEnd = e.Number
+		if r, ok := g.runs[e.Run.Task]; ok && r.start.Run == e.Run {
+			if e.Saved != "" {
+				r.checkpoint = e.Saved
+			}
+			g.finishListed(now, e.Run.Task, e.Number, e.End, "")
+		}
+	}
+	g.reconcile(now, snapshot)
+	g.resumeRenewal(now)
+}
+
+// reconcile compares the runs with those that the worker listed, and stops unknown ones.
+func (g *Guard) reconcile(now time.Time, snapshot Look) {
+	g.settled = true
+	for _, r := range slices.SortedFunc(maps.Keys(snapshot.Running), func(a, b work.Run) int { return cmp.Or(a.Task.Compare(b.Task), a.Number-b.Number) }) {
+		known, ok := g.runs[r.Task]
+		if !ok || known.start.Run != r {
+			g.settled = false
+			g.orders = append(g.orders, Order{Stop: true, Start: work.Start{Run: r}, Token: g.token})
+			continue
+		}
+		g.updateProgress(now, known, snapshot.Running[r])
+		if checkpoint := snapshot.Saved[r]; checkpoint != "" {
+			known.checkpoint = checkpoint
+		}
+		if known.phase == unclear {
+			known.phase = running
+		}
+		if !known.stopRequestedAt.IsZero() && known.phase != ordered && now.Sub(known.stopRequestedAt) > stopRetryInterval {
+			g.stop(now, known)
+		}
+	}
+	for _, ref := range g.sortedTasks() {
+		known := g.runs[ref]
+		if known.phase != unclear || known.token >= snapshot.Token {
+			continue
+		}
+		if _, listed := snapshot.Running[known.start.Run]; !listed {
+			end, reason := known.absenceReason()
+			g.finish(now, ref, end, reason)
+		}
+	}
+}
+
+// absenceReason returns the end of an unclear run that the worker does not list.
+func (r *run) absenceReason() (end work.End, reason string) {
+	if r.workerRestarted {
+		return work.Lapsed, "worker started anew"
+	}
+	return work.Refused, "no answer"
+}
+
+// updateProgress records the progress of a run, and whether it is slow or stalled.
+func (g *Guard) updateProgress(now time.Time, r *run, percent int) {
+	if percent > r.percent || r.lastProgress.IsZero() {
+		r.percent, r.lastProgress = percent, now
+	}
+	r.slowProjection = 0
+	if took := r.projectRunTime(now); r.start.Expected > 0 && float64(took) > SlowTimes*float64(r.start.Expected) {
+		r.slowProjection = took
+	}
+	r.stalled = percent < 100 && now.Sub(r.lastProgress) > max(g.cfg.IdleAge, r.start.Estimate/stallDivisor)
+}
+
+// projectRunTime returns the shortest run time that is consistent with a run's progress.
+func (r *run) projectRunTime(now time.Time) time.Duration {
+	elapsed := now.Sub(r.orderedAt) - maxOrderDelay
+	return elapsed * 100 / time.Duration(r.percent+1)
+}
+
+// maxOrderDelay is the longest time that a healthy worker takes from the order of a
+// run to its start, and from an answer to its arrival.
+const maxOrderDelay = 5 * time.Millisecond
+
+// SlowTimes is the factor over the expected run time at which a run is reported as
+// slow. Estimates are off by 40%, which alone accounts for a lower factor in 99 of
+// 100 runs.
+const SlowTimes = 2.5
+
+// Projection is the shortest time that a slow run will take.
+type Projection struct {
+	Run  work.Run
+	Took time.Duration // since its order
+}
+
+// Slow returns the runs of an entry whose progress shows that they will take far
+// longer than the entry expects.
+func (g *Guard) Slow(entry string) []Projection {
+	var slow []Projection
+	for _, ref := range g.sortedTasks() {
+		if r := g.runs[ref]; r.entry == entry && r.phase == running && r.slowProjection > 0 {
+			slow = append(slow, Projection{Run: r.start.Run, Took: r.slowProjection})
+		}
+	}
+	return slow
+}
+
+// stallDivisor sets the part of its estimate that a run may be without progress; one
+// more percent is expected after a hundredth of the estimate.
+const stallDivisor = 8
+
+// stopRetryInterval is the time after which a stop that did not end a run is sent
+// again; a worker takes at most 50 ms to stop a run.
+const stopRetryInterval = 100 * time.Millisecond
+
+// LookFailed records that the worker did not answer a poll.
+func (g *Guard) LookFailed(now time.Time) {
+	g.outOfContact = now.Sub(g.lastPoll) > g.cfg.Silence
+	g.expireRuns(now)
+}
+
+// expireRuns ends all runs once their leases have expired without renewal.
+func (g *Guard) expireRuns(now time.Time) {
+	if len(g.runs) == 0 || g.workerClock == 0 || now.Before(g.leaseExpiry()) {
+		return
+	}
+	for _, ref := range g.sortedTasks() {
+		g.finish(now, ref, work.Lapsed, "worker does not answer")
+	}
+}
+
+// Idle returns the runs of an entry that are stalled.
+func (g *Guard) Idle(entry string) []work.Run {
+	var stalled []work.Run
+	for _, ref := range g.sortedTasks() {
+		r := g.runs[ref]
+		if r.entry == entry && r.phase == running && r.stalled {
+			stalled = append(stalled, r.start.Run)
+		}
+	}
+	return stalled
+}
--- a/worker/tenure.go
+++ b/worker/tenure.go
@@ -7,26 +7,27 @@
 	"masticbay/work"
 )
 
-// Runs of stored jobs belong to the entry that holds the ledger, whichever placed
-// them. Their ends must not be forgotten by the worker before that entry has saved
-// them: an end that was forgotten and not saved would let the task run again. An
-// end that counts for nothing, since the entry may have given the run up, is
-// forgotten only after the lease of the worker has lapsed; by then the run has not
-// taken place as far as anybody is concerned.
-
-// Tenure is the right of an entry to have tasks of stored jobs run here.
+// Runs of stored jobs belong to the entry that holds the ledger, whichever entry
+// placed them. The worker must retain their ends until that entry has committed
+// them: if an end were dropped before, the task would run again. An end may also
+// be invalid, because the entry may have declared the run lost. The worker may drop
+// such an end only after its lease has expired; by then every process treats the
+// run as if it had not taken place.
+
+// Tenure is the right of an entry to have tasks of stored jobs run here: the
+// ledger holder's term.
 type Tenure struct {
-	Epoch  uint64    // the highest counts; 0 if the entry has no such right
-	Vacant bool      // nothing is stored on the site
-	Owned  time.Time // agent's own time when the right was known to hold
+	Epoch  uint64    // the highest is valid; 0 if the entry has no such right
+	Vacant bool      // the site stores no jobs
+	Owned  time.Time // on the agent's clock, the last time at which the tenure was known to hold
 }
 
-// Own takes an entry's tenure. The first entry of a higher epoch takes over the
-// runs of stored jobs and the events that were not saved.
+// Own applies an entry's tenure. The first entry with a higher epoch takes over
+// the runs of stored jobs and the events that are not committed.
 func (g *Guard) Own(now time.Time, entry string, t Tenure) {
 	switch {
 	case t.Vacant && g.tenure.Epoch == 0:
-		g.strange, g.lapsing = false, time.Time{}
+		g.mayListInherited, g.renewalPausedAt = false, time.Time{}
 		return
 	case t.Epoch < g.tenure.Epoch || t.Epoch == 0:
 		return
@@ -36,24 +37,24 @@
 		}
 		return
 	}
-	former := g.owner
-	g.tenure, g.owner = t, entry
-	if s := g.session(entry); s.heard.Before(now) {
-		s.heard = now // its contact begins; it counts on this worker only once it has the answer
+	previous := g.holder
+	g.tenure, g.holder = t, entry
+	if s := g.homeState(entry); s.lastContact.Before(now) {
+		s.lastContact = now // its contact starts now; the entry itself relies on this worker only after it gets the answer
 	}
 	for _, r := range g.runs {
 		if r.start.Stored {
 			r.entry = entry
 		}
 	}
-	if former == "" || former == entry {
+	if previous == "" || previous == entry {
 		return
 	}
-	s := g.session(former)
+	s := g.homeState(previous)
 	var rest []Event
 	for _, e := range s.events {
 		if e.Stored {
-			g.tell(entry, e)
+			g.addEvent(entry, e)
 		} else {
 			rest = append(rest, e)
 		}
@@ -61,119 +62,120 @@
 	s.events = rest
 }
 
-// Epoch returns the epoch of the tenure that the Guard obeys; 0 while the lease
-// of the worker has to lapse, as then no task can be taken.
+// Epoch returns the epoch of the tenure that the Guard accepts; 0 while the lease
+// of the worker has to expire, since no task can be started then.
 func (g *Guard) Epoch() uint64 {
-	if !g.lapsing.IsZero() {
+	if !g.renewalPausedAt.IsZero() {
 		return 0
 	}
 	return g.tenure.Epoch
 }
 
-// Kept returns the runs of stored jobs.
-func (g *Guard) Kept() (kept []work.Run, since []time.Time) {
-	for _, ref := range g.refs() {
+// Kept returns the runs of stored jobs, which a new holder inherits, and the times
+// of their orders.
+func (g *Guard) Kept() (runs []work.Run, orderedAt []time.Time) {
+	for _, ref := range g.sortedTasks() {
 		if r := g.runs[ref]; r.start.Stored {
-			kept, since = append(kept, r.start.Run), append(since, r.sent)
+			runs, orderedAt = append(runs, r.start.Run), append(orderedAt, r.orderedAt)
 		}
 	}
-	return kept, since
+	return runs, orderedAt
 }
 
-// owns reports whether an entry may have tasks of stored jobs run here.
-func (g *Guard) owns(now time.Time, entry string) bool {
-	return entry == g.owner && g.lapsing.IsZero() && !g.tenure.Owned.Before(g.since) && now.Sub(g.tenure.Owned) <= g.cfg.Tenure
+// holdsTenure reports whether an entry may have tasks of stored jobs run here.
+func (g *Guard) holdsTenure(now time.Time, entry string) bool {
+	return entry == g.holder && g.renewalPausedAt.IsZero() && !g.tenure.Owned.Before(g.startedAt) && now.Sub(g.tenure.Owned) <= g.cfg.Tenure
 }
 
-// startle takes the first look of this Guard. What it shows is of an earlier
-// incarnation of the agent, and may be of stored jobs. So nothing of it is
-// forgotten until the lease of the worker has lapsed, or an entry tells that
-// nothing is stored on the site.
-func (g *Guard) startle(now time.Time, l *Look) {
-	if !g.looked.IsZero() || len(l.Running) == 0 && len(l.Ended) == 0 {
+// takeFirstSnapshot processes the first poll of this Guard. The snapshot shows
+// runs and ends of an earlier incarnation of the agent, which may be of stored
+// jobs. So all ends are retained until the worker's lease has expired, or an entry
+// reports that the site stores no jobs.
+func (g *Guard) takeFirstSnapshot(now time.Time, snapshot *Look) {
+	if !g.lastPoll.IsZero() || len(snapshot.Running) == 0 && len(snapshot.Ended) == 0 {
 		return
 	}
-	g.strange = true
-	g.until = g.clock + max(g.cfg.LongestLease, g.cfg.Lease)
-	g.lapse(now)
+	g.mayListInherited = true
+	g.maxLeaseUntil = g.workerClock + max(g.cfg.LongestLease, g.cfg.Lease)
+	g.pauseRenewal(now)
 }
 
-// lapse lets the lease of the worker lapse.
-func (g *Guard) lapse(now time.Time) {
-	if g.lapsing.IsZero() {
-		g.lapsing = now
+// pauseRenewal lets the worker's lease expire.
+func (g *Guard) pauseRenewal(now time.Time) {
+	if g.renewalPausedAt.IsZero() {
+		g.renewalPausedAt = now
 	}
 }
 
-// voidSilent gives up the runs of stored jobs, and their ends that were not saved,
-// when their entry may have given them up.
-func (g *Guard) voidSilent(now time.Time) {
-	s, ok := g.sessions[g.owner]
-	if g.owner == "" || ok && now.Sub(s.heard) <= g.cfg.Handover && now.Sub(g.tenure.Owned) <= g.cfg.Tenure {
+// expireOutOfContact stops the runs of stored jobs, and invalidates their ends that
+// are not committed, when the holder may have declared them lost.
+func (g *Guard) expireOutOfContact(now time.Time) {
+	s, ok := g.homes[g.holder]
+	if g.holder == "" || ok && now.Sub(s.lastContact) <= g.cfg.Handover && now.Sub(g.tenure.Owned) <= g.cfg.Tenure {
 		return
 	}
-	stale := len(g.unsaved) > 0
-	for _, ref := range g.refs() {
+	hasStored := len(g.uncommitted) > 0
+	for _, ref := range g.sortedTasks() {
 		if r := g.runs[ref]; r.start.Stored {
-			stale = true
-			if r.stopped.IsZero() {
+			hasStored = true
+			if r.stopRequestedAt.IsZero() {
 				g.stop(now, r)
 			}
 		}
 	}
-	if !stale {
+	if !hasStored {
 		return
 	}
-	g.lapse(now)
+	g.pauseRenewal(now)
 	if ok {
 		for i := range s.events {
-			s.events[i].void()
+			s.events[i].markLapsed()
 		}
 	}
 }
 
-// void makes an event say that the run lapsed, if it is one of a stored job.
-func (e *Event) void() {
+// markLapsed turns an end of a run of a stored job into a lapse.
+func (e *Event) markLapsed() {
 	if e.Stored && (e.End == work.Done || e.End == work.Failed) {
 		e.End, e.Reason = work.Lapsed, "its end was not saved"
 	}
 }
 
-// lapsed ends the time in which the lease is not renewed, once it has lapsed.
-func (g *Guard) lapsed(now time.Time) {
-	if g.lapsing.IsZero() || g.clock == 0 || now.Before(g.lapsedAt()) {
+// resumeRenewal renews the lease again once it has expired.
+func (g *Guard) resumeRenewal(now time.Time) {
+	if g.renewalPausedAt.IsZero() || g.workerClock == 0 || now.Before(g.leaseExpiry()) {
 		return
 	}
-	g.lapsing, g.strange = time.Time{}, false
-	g.unsaved = nil
+	g.renewalPausedAt, g.mayListInherited = time.Time{}, false
+	g.uncommitted = nil
 }
 
-// keep notes an end that the worker must not forget yet.
-func (g *Guard) keep(number uint64) { g.unsaved = append(g.unsaved, number) }
+// retainEnd makes the worker retain an end.
+func (g *Guard) retainEnd(endNumber uint64) { g.uncommitted = append(g.uncommitted, endNumber) }
 
-// saved lets the worker forget an end.
-func (g *Guard) saved(number uint64) {
-	g.unsaved = slices.DeleteFunc(g.unsaved, func(n uint64) bool { return n == number })
+// endCommitted lets the worker drop an end that has been committed.
+func (g *Guard) endCommitted(endNumber uint64) {
+	g.uncommitted = slices.DeleteFunc(g.uncommitted, func(n uint64) bool { return n == endNumber })
 }
 
-// Seen returns the number up to which the worker may forget ends.
+// Seen returns the number up to which the worker may drop ends.
 func (g *Guard) Seen() uint64 {
 	switch {
-	case g.strange:
+	case g.mayListInherited:
 		return 0
-	case len(g.unsaved) > 0:
-		return slices.Min(g.unsaved) - 1
+	case len(g.uncommitted) > 0:
+		return slices.Min(g.uncommitted) - 1
 	}
-	return g.seen
+	return g.lastEnd
 }
 
-// Unsaved returns the numbers of the ends that the worker must not forget before
-// they are saved.
-func (g *Guard) Unsaved() []uint64 { return g.unsaved }
+// Unsaved returns the numbers of the ends that the worker must retain until they
+// are committed.
+func (g *Guard) Unsaved() []uint64 { return g.uncommitted }
 
-// Holding reports whether the worker lists ends that it must not forget yet. A
-// look that waits for an end then returns at once.
-func (g *Guard) Holding() bool { return g.strange || len(g.unsaved) > 0 }
+// Holding reports whether the worker must retain ends that it lists. A poll that
+// waits for an end then returns at once.
+func (g *Guard) Holding() bool { return g.mayListInherited || len(g.uncommitted) > 0 }
 
 // Lapsing reports whether the lease of the worker is not renewed.
-func (g *Guard) Lapsing() bool { return !g.lapsing.IsZero() }
+func (g *Guard) Lapsing() bool { return !g.renewalPausedAt.IsZero() }
--- a/worker/tenure_test.go
+++ b/worker/tenure_test.go
@@ -8,142 +8,141 @@
 	"masticbay/worker"
 )
 
-// own gives an entry the tenure of an epoch.
-func (d *desk) own(entry string, epoch uint64) {
+// applyTenure gives an entry the tenure of an epoch.
+func (d *driver) applyTenure(entry string, epoch uint64) {
 	d.g.Hear(entry, d.now)
 	d.g.Own(d.now, entry, worker.Tenure{Epoch: epoch, Owned: d.now})
 }
 
-func stored(index, number int) work.Start {
+func storedStart(index, number int) work.Start {
 	s := start(index, number, 10)
 	s.Stored = true
 	return s
 }
 
-// ends answers a look with an end.
-func (d *desk) ends(how work.End, r work.Run) {
-	d.ended++
-	d.g.Looked(d.now, worker.Look{Token: d.g.Token(), Born: d.born, Clock: d.clock, Ended: []worker.Ended{{Number: d.ended, Run: r, End: how}}})
+// answerPollWithEnd answers a poll that lists one end.
+func (d *driver) answerPollWithEnd(end work.End, r work.Run) {
+	d.lastEnd++
+	d.g.Looked(d.now, worker.Look{Token: d.g.Token(), Born: d.born, Clock: d.clock, Ended: []worker.Ended{{Number: d.lastEnd, Run: r, End: end}}})
 }
 
-func newTenuredDesk(t *testing.T) *desk {
-	d := newDesk(t)
+func newDriverWithTenure(t *testing.T) *driver {
+	d := newDriver(t)
 	d.g.Own(d.now, "e1", worker.Tenure{Vacant: true})
-	d.look(0)
-	d.own("e1", 1)
+	d.answerPoll(0)
+	d.applyTenure("e1", 1)
 	return d
 }
 
-func TestEndOfStoredJobIsKeptUntilItIsSaved(t *testing.T) {
-	d := newTenuredDesk(t)
-	d.order(stored(0, 1))
+func TestEndOfStoredJobIsRetainedUntilCommitted(t *testing.T) {
+	d := newDriverWithTenure(t)
+	d.order(storedStart(0, 1))
 	d.g.Started(d.now, run(0, 1), "", false)
-	d.ends(work.Done, run(0, 1))
+	d.answerPollWithEnd(work.Done, run(0, 1))
 	if got := d.g.Seen(); got != 0 {
-		t.Fatalf("ends up to %d may be forgotten before they are saved", got)
+		t.Fatalf("the worker may drop ends up to %d before they are committed", got)
 	}
-	e := d.told(work.Done)
+	e := d.lastEvent(work.Done)
 	d.g.Events("e1", e.Seq)
 	if got := d.g.Seen(); got != 1 {
-		t.Errorf("ends up to %d may be forgotten after that", got)
+		t.Errorf("the worker may drop ends up to %d after the commit", got)
 	}
 }
 
 func TestNextHolderGetsRunsAndEnds(t *testing.T) {
-	d := newTenuredDesk(t)
-	d.order(stored(0, 1), stored(1, 1))
+	d := newDriverWithTenure(t)
+	d.order(storedStart(0, 1), storedStart(1, 1))
 	d.g.Started(d.now, run(0, 1), "", false)
 	d.g.Started(d.now, run(1, 1), "", false)
-	d.ended++
+	d.lastEnd++
 	d.g.Looked(d.now, worker.Look{Token: d.g.Token(), Born: d.born, Clock: d.clock,
 		Running: map[work.Run]int{run(1, 1): 10}, Ended: []worker.Ended{{Number: 1, Run: run(0, 1), End: work.Done}}})
-	d.own("e2", 2)
+	d.applyTenure("e2", 2)
 	events := d.g.Events("e2", 0)
 	if len(events) != 1 || events[0].Run != run(0, 1) || events[0].End != work.Done {
-		t.Errorf("events of the next holder: %+v", events)
+		t.Errorf("events for the next holder: %+v", events)
 	}
-	if kept, _ := d.g.Kept(); len(kept) != 1 || kept[0] != run(1, 1) {
-		t.Errorf("kept %v", kept)
+	if inherited, _ := d.g.Kept(); len(inherited) != 1 || inherited[0] != run(1, 1) {
+		t.Errorf("inherited runs %v", inherited)
 	}
 	if n := len(d.g.Events("e1", 0)); n != 0 {
-		t.Errorf("%d events left to the former holder", n)
+		t.Errorf("%d events left for the previous holder", n)
 	}
-	d.g.Order(d.now, "e1", d.now, []work.Start{stored(2, 1)}, nil)
+	d.g.Order(d.now, "e1", d.now, []work.Start{storedStart(2, 1)}, nil)
 	if n := len(d.g.Take()); n != 0 {
-		t.Error("the former holder may still start tasks")
+		t.Error("the previous holder can still start tasks")
 	}
 }
 
-func TestTenureEndsWithoutTheStore(t *testing.T) {
-	d := newTenuredDesk(t)
+func TestTenureExpiresWithoutRenewal(t *testing.T) {
+	d := newDriverWithTenure(t)
 	for range 60 { // the entry stays in contact
-		d.pass(100 * time.Millisecond)
+		d.advance(100 * time.Millisecond)
 		d.g.Hear("e1", d.now)
-		d.look(0)
+		d.answerPoll(0)
 		d.g.Tick(d.now)
 	}
-	if n := len(d.order(stored(0, 1))); n != 0 {
-		t.Error("a tenure of 6 s ago counts")
+	if n := len(d.order(storedStart(0, 1))); n != 0 {
+		t.Error("a tenure that was last renewed 6 s ago is still valid")
 	}
-	d.own("e1", 1)
-	if n := len(d.order(stored(0, 1))); n != 1 {
-		t.Error("a renewed tenure does not count")
+	d.applyTenure("e1", 1)
+	if n := len(d.order(storedStart(0, 1))); n != 1 {
+		t.Error("a renewed tenure is not valid")
 	}
 }
 
-// TestEndsOfASilentHolderAreVoid: when the holder may have given a run up, its end
-// must not count, so the worker may forget it only after its lease has lapsed.
-func TestEndsOfASilentHolderAreVoid(t *testing.T) {
-	d := newTenuredDesk(t)
-	d.order(stored(0, 1))
+// When the holder may have declared a run lost, the run's end must not be reported as
+// done, and the worker may drop it only after its lease has expired.
+func TestEndsLapseWhenHolderIsOutOfContact(t *testing.T) {
+	d := newDriverWithTenure(t)
+	d.order(storedStart(0, 1))
 	d.g.Started(d.now, run(0, 1), "", false)
-	d.ends(work.Done, run(0, 1))
-	d.pass(cfg.Handover + 50*time.Millisecond)
+	d.answerPollWithEnd(work.Done, run(0, 1))
+	d.advance(cfg.Handover + 50*time.Millisecond)
 	d.g.Tick(d.now)
 	if until := d.g.Until(d.now); until != 0 || !d.g.Lapsing() {
-		t.Fatalf("the lease is renewed until %v", until)
+		t.Fatalf("lease renewed until %v", until)
 	}
-	d.told(work.Lapsed)
+	d.lastEvent(work.Lapsed)
 	if d.g.Seen() != 0 {
-		t.Fatal("the end may be forgotten before the lease has lapsed")
+		t.Fatal("the worker may drop the end before the lease has expired")
 	}
-	d.pass(cfg.LongestLease + 100*time.Millisecond)
-	d.look(0)
+	d.advance(cfg.LongestLease + 100*time.Millisecond)
+	d.answerPoll(0)
 	if d.g.Lapsing() || d.g.Seen() != 1 {
-		t.Errorf("lapsing %t, seen %d after the lease", d.g.Lapsing(), d.g.Seen())
+		t.Errorf("after the lease: renewal paused %t, acknowledged end %d", d.g.Lapsing(), d.g.Seen())
 	}
 }
 
-// TestNewAgentForgetsNothingOfItsFormerLife: the ends that it finds may be of stored
-// jobs and not saved.
-func TestNewAgentForgetsNothingOfItsFormerLife(t *testing.T) {
-	found := func(t *testing.T) *desk {
-		d := newDesk(t)
-		d.ends(work.Done, run(0, 1))
+// The ends that a restarted agent finds may be of stored jobs and not committed.
+func TestRestartedAgentRetainsInheritedEnds(t *testing.T) {
+	newGuardWithEnd := func(t *testing.T) *driver {
+		d := newDriver(t)
+		d.answerPollWithEnd(work.Done, run(0, 1))
 		if d.g.Seen() != 0 || d.g.Until(d.now) != 0 {
-			t.Fatalf("seen %d, lease until %v", d.g.Seen(), d.g.Until(d.now))
+			t.Fatalf("acknowledged end %d, lease until %v", d.g.Seen(), d.g.Until(d.now))
 		}
 		return d
 	}
-	t.Run("the lease lapses", func(t *testing.T) {
-		d := found(t)
-		d.own("e1", 1)
-		d.pass(cfg.LongestLease / 2)
-		d.look(0)
+	t.Run("lease expires", func(t *testing.T) {
+		d := newGuardWithEnd(t)
+		d.applyTenure("e1", 1)
+		d.advance(cfg.LongestLease / 2)
+		d.answerPoll(0)
 		if d.g.Seen() != 0 {
-			t.Error("forgotten before the lease lapsed")
+			t.Error("the worker may drop the end before the lease has expired")
 		}
-		d.pass(cfg.LongestLease)
-		d.look(0)
+		d.advance(cfg.LongestLease)
+		d.answerPoll(0)
 		if d.g.Seen() != 1 || d.g.Epoch() != 1 {
-			t.Errorf("seen %d, epoch %d after the lease", d.g.Seen(), d.g.Epoch())
+			t.Errorf("after the lease: acknowledged end %d, epoch %d", d.g.Seen(), d.g.Epoch())
 		}
 	})
 	t.Run("nothing is stored", func(t *testing.T) {
-		d := found(t)
+		d := newGuardWithEnd(t)
 		d.g.Own(d.now, "e1", worker.Tenure{Vacant: true})
 		if d.g.Seen() != 1 || d.g.Until(d.now) == 0 {
-			t.Errorf("seen %d, lease until %v", d.g.Seen(), d.g.Until(d.now))
+			t.Errorf("acknowledged end %d, lease until %v", d.g.Seen(), d.g.Until(d.now))
 		}
 	})
 }
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -4,29 +4,36 @@
 //
 // The agent is the only process that calls its worker. It takes orders from
 // entries that place tasks. Every run has two leases: the worker ends a run
-// when the agent does not renew the lease of the worker in time, and the agent
-// stops a run when the entry that placed it has been silent. So whoever loses
-// contact knows after a bounded time that a run has ended, whatever happened
-// to the processes in between.
+// when the agent does not renew the worker's lease in time, and the agent
+// stops a run when the entry that placed it has been out of contact. So a
+// process that loses contact knows after a bounded time that a run has ended,
+// whatever happened to the processes in between.
 //
 // An order that was not answered may be carried out late. The agent then
-// raises its fencing token: once the worker has acknowledged the higher token
-// it carries out no older order, and its list of runs is final for those.
+// raises its fencing token: once the worker has acknowledged the higher token,
+// it carries out no order with a lower one, and its list of runs is final for
+// those orders.
 //
-// Tokens come from the worker's own clock, which only rises during a life of
-// the worker. So they rise over restarts of the agent, which keeps nothing.
+// Tokens are derived from the worker's own clock, which only rises during an
+// incarnation of the worker. So they rise across restarts of the agent, which
+// stores nothing.
 //
 // Guard holds this state. It has no goroutines, sockets or clocks: every
-// method takes the time, and Take returns the orders to carry out. Its times
-// must come from a clock that counts while the VM is suspended.
+// method takes the time, and Take returns the orders to carry out. The times
+// must come from a clock that advances while the VM is suspended.
+//
+// A tenure is the ledger holder's term, a lease with an epoch; see Tenure. The
+// home is the coordinator that places the tasks of a site. A run is "unclear"
+// while it is not known whether the worker started it, and a Guard is "settled"
+// when the worker has no runs that the Guard did not order.
 //
 // # Usage
 //
 //	g := worker.NewGuard(cfg)
-//	g.Report(now, target)
+//	g.TakeHeartbeat(now, target, clock)
 //	g.Order(now, "entry-1", echo, starts, stops)
 //	for _, o := range g.Take() { ... }
-//	g.Looked(now, look)
+//	g.PollAnswered(now, snapshot)
 //	events, next := g.Events("entry-1", acked)
 package worker
 
@@ -40,122 +47,124 @@
 
 // Config bounds a Guard.
 type Config struct {
-	Lease time.Duration // of the worker's runs; renewed with every look
-	// LongestLease is what the worker grants whatever is asked for.
+	Lease time.Duration // of the worker's runs; renewed with every poll
+	// LongestLease is the longest lease that the worker grants, whatever is requested.
 	LongestLease time.Duration
-	Contact      time.Duration // how long an entry may be silent before its runs are stopped
-	Handover     time.Duration // how long the holder of the ledger may be silent before runs of stored jobs are stopped
-	OrderLife    time.Duration // oldest echo with which an order is taken
-	Forget       time.Duration // how long events of a silent entry are kept
-	Silence      time.Duration // time without an answered look after which the worker gets no task
-	Tenure       time.Duration // how long a tenure counts after it was last known to hold
-	IdleAge      time.Duration // least time without progress after which a run counts as idle
+	Contact      time.Duration // longest time without contact to an entry before its runs are stopped
+	Handover     time.Duration // longest time without contact to the ledger's holder before runs of stored jobs are stopped
+	OrderLife    time.Duration // highest age of the echo of an order that is accepted
+	Forget       time.Duration // how long the events of an entry out of contact are retained
+	Silence      time.Duration // time without an answered poll after which the worker gets no task
+	Tenure       time.Duration // how long a tenure is valid after its last confirmed renewal
+	IdleAge      time.Duration // shortest time without progress after which a run is stalled
 }
 
-// phase is where a run stands.
+// phase is the state of a run.
 type phase int
 
 const (
 	ordered  phase = iota // sent, not answered
-	unclear               // whether it was begun is not known; a higher token will tell
-	running               // known to be at work
-	stopping              // to be stopped
+	unclear               // not known whether it was started; a poll with a higher token decides
+	running               // known to run
+	stopping              // stop order sent
 )
 
 type run struct {
-	start   work.Start
-	entry   string
-	phase   phase
-	token   uint64        // with which it was sent last
-	sent    time.Time     // first order
-	stopped time.Time     // last stop order
-	percent int           // of its work, at the last look
-	saved   string        // its last checkpoint
-	moved   time.Time     // the look that showed the last progress
-	slow    time.Duration // least run time that its progress lets expect, if far above what was expected
-	idle    bool          // looks have shown no progress for too long
-	reborn  bool          // the worker has started anew since it was ordered
+	start           work.Start
+	entry           string
+	phase           phase
+	token           uint64        // with which it was last sent
+	orderedAt       time.Time     // first start order
+	stopRequestedAt time.Time     // last stop request
+	percent         int           // progress at the last poll
+	checkpoint      string        // last checkpoint; empty if there is none
+	lastProgress    time.Time     // last poll that showed progress
+	slowProjection  time.Duration // shortest run time at its present speed, if far above the expected one; else 0
+	stalled         bool          // polls have shown no progress for too long
+	workerRestarted bool          // the worker has restarted since the run was ordered
 }
 
-// Guard is the state of an agent. NewGuard makes one.
+// Guard decides what runs on one worker. NewGuard makes one.
 type Guard struct {
-	cfg      Config
-	target   work.Target
-	known    bool // a heartbeat has described the target
-	leaving  bool
-	silent   bool      // no look has been answered for Config.Silence
-	looked   time.Time // last answered look
-	settled  bool      // nothing runs that this Guard did not order
-	token    uint64
-	leap     uint64 // by which the token rose after the last refusal in a row
-	acked    uint64 // highest token that the worker acknowledged
-	seen     uint64 // last end that was taken note of
-	clock    time.Duration
-	clockAt  time.Time     // when clock was read, at the latest
-	until    time.Duration // longest lease that was asked for
-	pace     Pace
-	runs     map[work.TaskRef]*run
-	sessions map[string]*session
-	orders   []Order
-	since    time.Time // begin of this Guard
-	owner    string    // entry that holds the tenure
-	tenure   Tenure
-	unsaved  []uint64  // ends that the worker must not forget yet
-	strange  bool      // ends of an earlier incarnation of the agent may be among those that are listed
-	lapsing  time.Time // since when the lease is not renewed; zero if it is
+	cfg              Config
+	target           work.Target
+	hasTarget        bool // a heartbeat has described the target
+	leaving          bool
+	outOfContact     bool      // no poll has been answered for Config.WorkerContactTimeout
+	lastPoll         time.Time // last answered poll
+	settled          bool      // the worker has no runs that this Guard did not order
+	token            uint64
+	tokenStep        uint64 // last increase of the token after consecutive rejections
+	ackedToken       uint64 // highest token that the worker acknowledged
+	lastEnd          uint64 // number of the last end that was processed
+	workerClock      time.Duration
+	clockReadAt      time.Time     // when workerClock was read, at the latest
+	maxLeaseUntil    time.Duration // end of the longest lease that was requested, on the worker's clock
+	pace             Pace
+	runs             map[work.TaskRef]*run
+	homes            map[string]*homeState
+	orders           []Order
+	startedAt        time.Time // when this Guard got its first message
+	holder           string    // entry that holds the tenure
+	tenure           Tenure
+	uncommitted      []uint64  // ends that the worker must retain until they are committed to the ledger
+	mayListInherited bool      // listed ends may come from an earlier incarnation of the agent
+	renewalPausedAt  time.Time // since when the lease is not renewed; zero while it is renewed
 }
 
-// NewGuard returns a Guard of a worker that has not reported yet.
+// NewGuard returns a Guard of a worker that has not sent a heartbeat yet.
 func NewGuard(cfg Config) *Guard {
-	return &Guard{cfg: cfg, runs: make(map[work.TaskRef]*run), sessions: make(map[string]*session)}
+	return &Guard{cfg: cfg, runs: make(map[work.TaskRef]*run), homes: make(map[string]*homeState)}
 }
 
-// Target returns the worker's description, and false before it is known.
-func (g *Guard) Target() (work.Target, bool) { return g.target, g.known && !g.leaving }
+// Target returns the worker's description. It reports false while there is no
+// description or the worker is leaving.
+func (g *Guard) Target() (work.Target, bool) { return g.target, g.hasTarget && !g.leaving }
 
 // Token returns the token for the next order.
 func (g *Guard) Token() uint64 { return g.token }
 
-// Settled reports whether nothing runs that this Guard did not order.
+// Settled reports whether the worker has no runs that this Guard did not order.
 func (g *Guard) Settled() bool { return g.settled }
 
-// Silent reports whether the worker has not answered for a while.
-func (g *Guard) Silent() bool { return g.silent }
+// Silent reports whether the worker has not answered polls for a while.
+func (g *Guard) Silent() bool { return g.outOfContact }
 
-// Running returns the number of runs that may be at work.
+// Running returns the number of runs that may be active.
 func (g *Guard) Running() int { return len(g.runs) }
 
-// Report takes a heartbeat.
+// Report takes a heartbeat of the worker.
 func (g *Guard) Report(now time.Time, t work.Target, clock time.Duration) {
-	if g.known && t.Born != 0 && g.target.Born != 0 && t.Born < g.target.Born {
-		return // delayed; from an earlier life
+	if g.hasTarget && t.Born != 0 && g.target.Born != 0 && t.Born < g.target.Born {
+		return // delayed; from an earlier incarnation
 	}
-	g.begin(now)
-	g.newLife(now, t.Born, clock)
+	g.initialise(now)
+	g.workerRestarted(now, t.Born, clock)
 	if t.Born == 0 {
 		t.Born = g.target.Born
 	}
-	g.target, g.known, g.leaving = t, true, false
+	g.target, g.hasTarget, g.leaving = t, true, false
 	if g.token == 0 {
-		g.readClock(now, clock)
-		g.raise()
+		g.updateClock(now, clock)
+		g.raiseToken()
 	}
 }
 
-func (g *Guard) begin(now time.Time) {
-	if g.since.IsZero() {
-		g.since = now
+func (g *Guard) initialise(now time.Time) {
+	if g.startedAt.IsZero() {
+		g.startedAt = now
 	}
 }
 
-// Leave takes the worker's word that it ends now.
+// Leave records that the worker has announced its end.
 func (g *Guard) Leave() { g.leaving = true }
 
-// newLife notes that the worker has started anew. The runs of its earlier life
-// have ended. But an order that was on its way may have been carried out by the
-// new life, so each run is unclear until a look with a higher token shows it or
-// not. Tokens go on from where they were, as such an order brings its own.
-func (g *Guard) newLife(now time.Time, born int64, clock time.Duration) {
+// workerRestarted handles a restart of the worker, if born is that of a newer
+// incarnation. The runs of the earlier incarnation have ended. But the new one may
+// have carried out an order that was in transit, so each run is unclear until a
+// poll with a higher token lists it or not. The tokens continue from their last
+// value, since such an order carries its own token.
+func (g *Guard) workerRestarted(now time.Time, born int64, clock time.Duration) {
 	if born == 0 || g.target.Born == 0 || born <= g.target.Born {
 		if g.target.Born == 0 {
 			g.target.Born = born
@@ -163,37 +172,37 @@
 		return
 	}
 	g.target.Born = born
-	g.acked, g.seen, g.clock, g.until = 0, 0, 0, 0
-	g.readClock(now, clock)
+	g.ackedToken, g.lastEnd, g.workerClock, g.maxLeaseUntil = 0, 0, 0, 0
+	g.updateClock(now, clock)
 	if len(g.runs) > 0 {
-		g.until = g.clock + max(g.cfg.LongestLease, g.cfg.Lease) // that an order may have brought
+		g.maxLeaseUntil = g.workerClock + max(g.cfg.LongestLease, g.cfg.Lease) // the lease that an order in transit may carry
 	}
 	for _, r := range g.runs {
-		r.phase, r.reborn = unclear, true
+		r.phase, r.workerRestarted = unclear, true
 	}
-	g.raise()
-	g.unsaved, g.strange, g.lapsing = nil, false, time.Time{}
-	for _, s := range g.sessions {
+	g.raiseToken()
+	g.uncommitted, g.mayListInherited, g.renewalPausedAt = nil, false, time.Time{}
+	for _, s := range g.homes {
 		for i := range s.events {
-			s.events[i].number = 0
+			s.events[i].endNumber = 0
 		}
 	}
 	g.pace = Pace{}
-	g.settled = false // until a look shows it
+	g.settled = false // until a poll shows it
 }
 
-func (g *Guard) readClock(now time.Time, clock time.Duration) {
-	if clock > g.clock {
-		g.clock, g.clockAt = clock, now
+func (g *Guard) updateClock(now time.Time, clock time.Duration) {
+	if clock > g.workerClock {
+		g.workerClock, g.clockReadAt = clock, now
 	}
 }
 
-// raise makes a token that is higher than all before it.
-func (g *Guard) raise() {
-	g.token = max(g.token+1, uint64(g.clock.Milliseconds())+1)
+// raiseToken sets a token that is higher than all earlier ones.
+func (g *Guard) raiseToken() {
+	g.token = max(g.token+1, uint64(g.workerClock.Milliseconds())+1)
 }
 
-// Unclear reports whether it is not known of some run whether it was begun.
+// Unclear reports whether the Guard does not know of some run whether it was started.
 func (g *Guard) Unclear() bool {
 	for _, r := range g.runs {
 		if r.phase == unclear {
@@ -203,18 +212,19 @@
 	return false
 }
 
-// Until returns the end of the lease for an order that is sent now.
+// Until returns the end of the lease, on the worker's clock, for a call that is
+// sent now. It returns 0 while the lease is not renewed.
 func (g *Guard) Until(now time.Time) time.Duration {
-	if g.clock == 0 || !g.lapsing.IsZero() {
+	if g.workerClock == 0 || !g.renewalPausedAt.IsZero() {
 		return 0
 	}
-	until := g.clock + now.Sub(g.clockAt) + g.cfg.Lease
-	g.until = max(g.until, until)
+	until := g.workerClock + now.Sub(g.clockReadAt) + g.cfg.Lease
+	g.maxLeaseUntil = max(g.maxLeaseUntil, until)
 	return until
 }
 
-// Used returns the room that runs take, of all entries and of the others than
-// the one named.
+// Used returns the resources that the runs of all entries take, and those that
+// the runs of entries other than the given one take.
 func (g *Guard) Used(entry string) (all, others work.Room) {
 	for _, r := range g.runs {
 		all = all.Add(r.start.Room)
@@ -225,31 +235,31 @@
 	return all, others
 }
 
-// refs returns the tasks with a run in a fixed order, so that decisions do not
-// depend on the order of a map.
-func (g *Guard) refs() []work.TaskRef {
+// sortedTasks returns the tasks that have a run in a fixed order, so that
+// decisions do not depend on the order of a map.
+func (g *Guard) sortedTasks() []work.TaskRef {
 	return slices.SortedFunc(maps.Keys(g.runs), work.TaskRef.Compare)
 }
 
-// finish removes a run and tells its entry.
-func (g *Guard) finish(now time.Time, ref work.TaskRef, how work.End, why string) {
-	g.finishListed(now, ref, 0, how, why)
+// finish removes a run and adds an event for its entry.
+func (g *Guard) finish(now time.Time, ref work.TaskRef, end work.End, reason string) {
+	g.finishListed(now, ref, 0, end, reason)
 }
 
 // finishListed is finish for an end that the worker lists under a number.
-func (g *Guard) finishListed(now time.Time, ref work.TaskRef, number uint64, how work.End, why string) {
+func (g *Guard) finishListed(now time.Time, ref work.TaskRef, endNumber uint64, end work.End, reason string) {
 	r := g.runs[ref]
 	delete(g.runs, ref)
-	e := Event{Run: r.start.Run, End: how, Reason: why, Took: now.Sub(r.sent), Stored: r.start.Stored, Checkpoint: r.saved}
-	if e.Stored && number > 0 && (how == work.Done || how == work.Failed) {
-		e.number = number
-		g.keep(number)
-		if !g.lapsing.IsZero() {
-			e.void()
+	e := Event{Run: r.start.Run, End: end, Reason: reason, Took: now.Sub(r.orderedAt), Stored: r.start.Stored, Checkpoint: r.checkpoint}
+	if e.Stored && endNumber > 0 && (end == work.Done || end == work.Failed) {
+		e.endNumber = endNumber
+		g.retainEnd(endNumber)
+		if !g.renewalPausedAt.IsZero() {
+			e.markLapsed()
 		}
 	}
-	if how == work.Done {
-		g.pace.add(now.Sub(r.sent), r.start.Estimate)
+	if end == work.Done {
+		g.pace.add(now.Sub(r.orderedAt), r.start.Estimate)
 	}
-	g.tell(r.entry, e)
+	g.addEvent(r.entry, e)
 }
