--- /dev/null
+++ b/ledger/commit.go
@@ -0,0 +1,141 @@
+package ledger
+
+import (
+	"encoding/json"
+	"time"
+
+	"github.com/juju/errors"
+
+	"masticbay/store"
+)
+
+// Flight is a commit that was sent and whose result is not known.
+//
+// Several commits are in flight at a time, each with jobs of its own. The store may
+// still carry out a commit that was not answered. So nothing is sent until all
+// others are answered, and then a commit that only renews the tenure invalidates the
+// unanswered one. After that its changes are sent again.
+type Flight struct {
+	commit           *store.Commit
+	kind             commitKind
+	firstSentAt      time.Time // when it was first sent
+	awaitsResult     bool      // it was sent and its result has not been recorded
+	tenure           tenure    // written by a commit that is not plain
+	jobs             []string
+	changes          []Fact
+	newJobs          []*Job   // whose items it is the first to write
+	endedJobs        []*Job   // whose ends it writes
+	newAgents        []string // that it enrolls
+	writesEnrollment bool     // it writes the list of enrolled agents
+	deletedKeys      []string // keys of expired jobs
+}
+
+// Commit returns the commit to send to the store.
+func (p *Flight) Commit() *store.Commit { return p.commit }
+
+type commitKind int
+
+const (
+	plain   commitKind = iota // about jobs, on condition that the tenure is unchanged
+	renew                     // renews the tenure
+	acquire                   // takes over the tenure
+)
+
+// Next returns the commit to send now, or nil. Its result must be recorded by
+// Committed, Conflict, Refused or Unanswered. The wall time decides which ended jobs
+// have expired.
+func (l *Ledger) Next(now, wall time.Time) (p *Flight, err error) {
+	defer func() { err = errors.Annotate(err, "making a commit") }()
+	switch {
+	case l.tenureCommit != nil:
+		return l.resend(), nil
+	case l.acquiring && l.phase < loading:
+		return l.newTenureCommit(now, acquire, tenure{Life: l.life, Epoch: l.tenure.Epoch + 1})
+	case l.phase != held:
+		return nil, nil
+	case len(l.unanswered) > 0 || len(l.inFlight) == 0 && l.renewalDue(now):
+		if len(l.inFlight) > 0 {
+			return nil, nil // their answers come first
+		}
+		next := l.tenure
+		next.Seq++
+		return l.newTenureCommit(now, renew, next)
+	case len(l.inFlight) >= l.cfg.Flights || !l.commitDue(now, wall):
+		return nil, nil
+	}
+	p = &Flight{firstSentAt: now, awaitsResult: true, commit: &store.Commit{Guard: TenureKey, Revision: l.rev}}
+	if err := l.fill(wall, p); err != nil {
+		return nil, err
+	}
+	if len(p.commit.Writes)+len(p.commit.Deletes) == 0 {
+		return l.withoutWrites(now, p)
+	}
+	l.inFlight, l.lastSentAt = append(l.inFlight, p), now
+	return p, nil
+}
+
+// withoutWrites returns a commit for changes of jobs that are no longer retained. They
+// need only the confirmation that the tenure holds.
+func (l *Ledger) withoutWrites(now time.Time, p *Flight) (*Flight, error) {
+	if len(p.changes) == 0 {
+		return nil, nil
+	}
+	if len(l.inFlight) > 0 {
+		l.retry(p)
+		return nil, nil
+	}
+	next := l.tenure
+	next.Seq++
+	renewal, err := l.newTenureCommit(now, renew, next)
+	if err == nil {
+		renewal.changes = p.changes
+	}
+	return renewal, err
+}
+
+// resend returns the tenure's commit again unless its result is awaited.
+func (l *Ledger) resend() *Flight {
+	if l.tenureCommit.awaitsResult {
+		return nil
+	}
+	l.tenureCommit.awaitsResult = true
+	return l.tenureCommit
+}
+
+// newTenureCommit returns a commit that writes the tenure.
+func (l *Ledger) newTenureCommit(now time.Time, kind commitKind, t tenure) (*Flight, error) {
+	raw, err := json.Marshal(t)
+	if err != nil {
+		return nil, err
+	}
+	l.tenureCommit = &Flight{
+		firstSentAt: now, awaitsResult: true, kind: kind, tenure: t,
+		commit: &store.Commit{Guard: TenureKey, Revision: l.rev, Writes: []store.Item{{Key: TenureKey, Value: raw}}},
+	}
+	l.lastSentAt = now
+	return l.tenureCommit, nil
+}
+
+// renewalDue reports whether the tenure must be renewed because jobs are open.
+func (l *Ledger) renewalDue(now time.Time) bool {
+	return now.Sub(l.lastSentAt) >= l.cfg.Refresh && len(l.changedJobs) == 0 && len(l.jobs) > len(l.ended)
+}
+
+// Sent returns when the last commit was first sent.
+func (l *Ledger) Sent() time.Time { return l.lastSentAt }
+
+// Changed reports whether changes wait to be committed.
+func (l *Ledger) Changed() bool { return len(l.changedJobs) > 0 }
+
+// commitDue reports whether something must be committed now.
+func (l *Ledger) commitDue(now, wall time.Time) bool {
+	switch age := now.Sub(l.lastSentAt); {
+	case age < l.cfg.Gap:
+		return false
+	case len(l.changedJobs) > 0 || len(l.keysToDelete) > 0:
+		return true
+	case age < l.cfg.Refresh:
+		return false
+	}
+	return l.enrollmentChanged || l.oldestExpired(wall)
+}
--- a/ledger/holder.go
+++ b/ledger/holder.go
@@ -9,17 +9,17 @@
 	"masticbay/store"
 )
 
-// Find takes the key of the tenure as the store has it, with revision 0 if it
+// Find takes the tenure's key as read from the store, with revision 0 if the key
 // does not exist.
 func (l *Ledger) Find(it store.Item) (err error) {
-	if l.phase >= loading || l.turn != nil {
-		return nil // commits tell
+	if l.phase >= loading || l.tenureCommit != nil {
+		return nil // commits take precedence
 	}
-	return l.meet(it)
+	return l.observeHolder(it)
 }
 
-// meet takes the key of a tenure that is not this entry's.
-func (l *Ledger) meet(it store.Item) (err error) {
+// observeHolder takes the tenure's key when this entry does not hold the tenure.
+func (l *Ledger) observeHolder(it store.Item) (err error) {
 	l.rev, l.tenure = it.Revision, tenure{}
 	l.phase = vacant
 	if it.Revision == 0 {
@@ -32,35 +32,35 @@
 	return nil
 }
 
-// Doubt forgets that nobody held the ledger: meanwhile another entry may.
+// Doubt discards the knowledge that nobody held the ledger: another entry may hold it now.
 func (l *Ledger) Doubt() {
-	if l.phase == vacant && l.turn == nil {
+	if l.phase == vacant && l.tenureCommit == nil {
 		l.phase = unread
 	}
 }
 
-// Known reports whether the store has told who holds the ledger.
+// Known reports whether the store has shown who holds the ledger.
 func (l *Ledger) Known() bool { return l.phase != unread }
 
-// Vacant reports whether nobody ever held the ledger.
+// Vacant reports whether nobody has ever held the ledger.
 func (l *Ledger) Vacant() bool { return l.phase == vacant }
 
-// Holder returns the incarnation of the entry that held the ledger last.
+// Holder returns the incarnation of the entry that last held the ledger.
 func (l *Ledger) Holder() string { return l.tenure.Life }
 
-// Claim makes the next commit take the ledger over.
+// Claim makes the next commit acquire the ledger.
 func (l *Ledger) Claim() {
 	if l.phase == vacant || l.phase == foreign {
-		l.claims = true
+		l.acquiring = true
 	}
 }
 
-// Load takes all items under OpenPrefix as they were read after the claim.
+// Load takes all items under OpenPrefix as read after the acquisition.
 func (l *Ledger) Load(items []store.Item) (err error) {
 	if l.phase != loading {
 		return nil
 	}
-	l.forget()
+	l.reset()
 	if err := l.decode(items); err != nil {
 		return err
 	}
@@ -68,18 +68,18 @@
 	return nil
 }
 
-// LoadEnded takes all items under EndedPrefix as they were read after Load.
+// LoadEnded takes all items under EndedPrefix as read after Load.
 func (l *Ledger) LoadEnded(items []store.Item) (err error) {
-	if l.phase != held || l.whole {
+	if l.phase != held || l.endedLoaded {
 		return nil
 	}
 	if err := l.decodeEnded(items); err != nil {
 		return err
 	}
 	slices.SortFunc(l.ended, func(a, b *Job) int { return a.Ended.Compare(b.Ended) })
-	l.whole = true
+	l.endedLoaded = true
 	return nil
 }
 
-// Loading reports whether the items have to be read.
+// Loading reports whether the items must be read from the store.
 func (l *Ledger) Loading() bool { return l.phase == loading }
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -1,33 +1,35 @@
-// Package ledger keeps the stored jobs of a site in the platform's key-value
-// store, so that they outlive every process.
+// Package ledger stores the jobs of a site in the platform's key-value store, so
+// that they survive every process.
 //
 // # Model
 //
-// One entry at a time holds the ledger. Its tenure is a key in the store that
-// names it; every commit of the holder is conditional on that key's revision. So
-// the commits of a former holder fail once another entry has taken the key, and
-// those that were not answered fail once the holder has written it anew (see
-// Flight). The number of the tenure, its epoch, goes to agents with every
-// order; they take none of an earlier epoch.
+// One entry at a time holds the ledger. Its tenure is its term as holder: a lease
+// with an epoch, stored under a key that names the holder. Every commit of the
+// holder is conditional on that key's revision. So the commits of a previous holder
+// fail once another entry has taken the key; the previous holder is then "deposed",
+// that is, superseded by a higher epoch. The holder's own unanswered commits fail
+// once it has written the key again (see PendingCommit). Every order to an agent
+// carries the epoch, and agents accept no order of an earlier epoch.
 //
-// A job has one item from its acceptance on. A short one elsewhere takes its place
-// when the job has ended, and is deleted Config.Keep later. What is done of an open
-// job stands in a second item. So a new holder reads the open jobs at once, however
-// many have ended; before it accepts new ones, it has to know those, too. An agent that may get tasks of stored jobs is
-// enrolled first, so that the next holder knows whom to ask what still runs.
+// A job has one item from its acceptance on. When the job has ended, a short item
+// under another prefix replaces it, and is deleted after Config.EndedRetention. The
+// progress of an open job is in a second item. So a new holder can read the open
+// jobs at once, however many have ended; before it accepts new jobs, it must read
+// the ended ones too. An agent that may get tasks of stored jobs is enrolled first,
+// so that the next holder knows which agents to ask for active runs.
 //
 // Ledger holds this state in memory. It has no goroutines, sockets or clocks:
-// Next returns what to commit, and Took, Conflict, Refused and Lost take what came
-// of it.
+// Next returns what to commit, and Committed, Conflict, Refused and Unanswered
+// record the result.
 //
 // # Usage
 //
 //	l := ledger.New(cfg, "entry-1")
-//	l.Find(item) // the holder as the store names it
-//	l.Claim()
-//	if f, err := l.Next(now, wall); f != nil {
-//		rev, err := st.Commit(ctx, f.Commit())
-//		facts := l.Took(f, rev)
+//	l.SetHolder(item) // as read from the store
+//	l.Acquire()
+//	if p, err := l.Next(now, wall); p != nil {
+//		rev, err := st.Commit(ctx, p.Commit())
+//		changes := l.Committed(p, rev)
 //	}
 package ledger
 
@@ -40,19 +42,19 @@
 
 // Config holds the limits of a Ledger.
 type Config struct {
-	Keep    time.Duration // how long the state of an ended job can be asked for
-	Refresh time.Duration // the longest time between commits while jobs are open
-	Gap     time.Duration // the shortest time between commits, so that changes share them
+	Keep    time.Duration // how long the state of an ended job can be queried
+	Refresh time.Duration // longest time between commits while jobs are open
+	Gap     time.Duration // shortest time between commits, so that changes share them
 	Entries int           // most conditions, writes and deletions of a commit
-	Flights int           // most commits side by side
+	Flights int           // most commits in flight
 }
 
-// phase is what an entry knows of the ledger.
+// phase is what an entry knows about the ledger.
 type phase int
 
 const (
-	unread  phase = iota // the store has not told who holds it
-	vacant               // nobody ever held it, so nothing is stored
+	unread  phase = iota // the store has not shown who holds it
+	vacant               // nobody has ever held it, so nothing is stored
 	foreign              // another entry holds it
 	loading              // this entry holds it and has not read the jobs yet
 	held
@@ -60,40 +62,40 @@
 
 // Ledger is the view of one entry. New makes one.
 type Ledger struct {
-	cfg    Config
-	life   string
-	phase  phase
-	claims bool // this entry wants to hold it
-	tenure tenure
-	rev    uint64 // of the key of the tenure
+	cfg       Config
+	life      string
+	phase     phase
+	acquiring bool // this entry wants to hold it
+	tenure    tenure
+	rev       uint64 // of the key of the tenure
 
-	owned   time.Time       // when the last commit that was carried out was sent
-	sent    time.Time       // when the last commit was sent first
-	failing time.Time       // since when no commit was carried out although some were sent; zero if the last was
-	turn    *Flight         // that writes the tenure
-	flights []*Flight       // the others
-	lost    []*Flight       // of these, those that were not answered
-	busy    map[string]bool // jobs in flights and lost
-	trash   []string        // keys to delete
-	jobs    map[string]*Job
-	changes map[string][]Fact // by job: what has to be committed about it
-	order   []string          // of changes
-	ended   []*Job            // kept, the longest first
-	agents  map[string]bool   // enrolled; false: with the next commit
-	roll    bool              // agents differs from what was committed last
-	whole   bool              // the ended jobs have been read, too
+	renewedAt         time.Time       // when the last commit that succeeded was sent
+	lastSentAt        time.Time       // when the last commit was first sent
+	failingSince      time.Time       // since when no commit has succeeded although some were sent; zero if the last one did
+	tenureCommit      *Flight         // the commit that writes the tenure; nil if there is none
+	inFlight          []*Flight       // the other commits that await a result
+	unanswered        []*Flight       // the other commits that were not answered
+	busy              map[string]bool // jobs in inFlight and unanswered
+	keysToDelete      []string        // deletions to repeat
+	jobs              map[string]*Job
+	changes           map[string][]Fact // to commit, by job
+	changedJobs       []string          // the keys of changes, in the order of their first change
+	ended             []*Job            // retained ended jobs, the first to end first
+	agents            map[string]bool   // enrolled agents; false until that is committed
+	enrollmentChanged bool              // agents differs from what was last committed
+	endedLoaded       bool              // the ended jobs have been read too
 }
 
-// New returns the ledger as an entry knows it that has just started.
+// New returns the ledger as seen by an entry that has just started.
 func New(cfg Config, life string) *Ledger {
 	l := &Ledger{cfg: cfg, life: life}
-	l.forget()
+	l.reset()
 	return l
 }
 
-func (l *Ledger) forget() {
-	l.turn, l.flights, l.lost, l.trash = nil, nil, nil, nil
-	l.order, l.ended, l.roll, l.whole, l.failing = nil, nil, false, false, time.Time{}
+func (l *Ledger) reset() {
+	l.tenureCommit, l.inFlight, l.unanswered, l.keysToDelete = nil, nil, nil, nil
+	l.changedJobs, l.ended, l.enrollmentChanged, l.endedLoaded, l.failingSince = nil, nil, false, false, time.Time{}
 	l.jobs, l.changes, l.agents = make(map[string]*Job), make(map[string][]Fact), make(map[string]bool)
 	l.busy = make(map[string]bool)
 }
@@ -101,28 +103,28 @@
 // Job is a stored job.
 type Job struct {
 	work.Job
-	Submitted time.Time
-	Done      [][]int              // by slot: the tasks that are done
-	Failures  map[work.TaskRef]int // failed runs of tasks that are not done
-	State     work.State           // empty while it is open
-	Ended     time.Time
-	stored    bool // its item is in the store
-	tried     bool // its item may be in the store
-	closed    bool // the store has its end
-	progress  bool // the item about its progress is, too
+	Submitted       time.Time
+	Done            [][]int              // by slot: indices of the tasks that are done
+	Failures        map[work.TaskRef]int // number of failed runs of tasks that are not done
+	State           work.State           // empty while it is open
+	Ended           time.Time
+	stored          bool // its item is in the store
+	maybeStored     bool // its item may be in the store
+	endStored       bool // the store has its end
+	hasProgressItem bool // an item with its progress may be in the store
 }
 
-// FactKind tells what a commit has made last.
+// FactKind is the kind of a committed change.
 type FactKind int
 
-// The kinds of facts.
+// The kinds of changes.
 const (
 	Accepted FactKind = iota
 	RunEnded
 	JobEnded
 )
 
-// Fact is something that the store has acknowledged.
+// Fact is a change that the store acknowledges with a commit.
 type Fact struct {
 	Kind  FactKind
 	Job   string
@@ -130,15 +132,14 @@
 	Mark  Mark       // of RunEnded
 }
 
-// Mark names the event of an agent that told the end of a run.
+// Mark names the event of an agent that reported the end of a run.
 type Mark struct {
 	Agent string
 	Life  string // incarnation of the agent
 	Seq   uint64
 }
 
-// Epoch returns the number of the tenure; 0 if this entry does not hold the
-// ledger.
+// Epoch returns the epoch of the tenure; 0 if this entry does not hold the ledger.
 func (l *Ledger) Epoch() uint64 {
 	if l.phase < loading {
 		return 0
@@ -149,22 +150,22 @@
 // Held reports whether this entry holds the ledger and has read the open jobs.
 func (l *Ledger) Held() bool { return l.phase == held }
 
-// Whole reports whether it has read the ended jobs, too, and can accept new ones.
-func (l *Ledger) Whole() bool { return l.phase == held && l.whole }
+// Whole reports whether it has read the ended jobs too, and can accept new ones.
+func (l *Ledger) Whole() bool { return l.phase == held && l.endedLoaded }
 
 // Owned returns when the tenure was last known to hold.
-func (l *Ledger) Owned() time.Time { return l.owned }
+func (l *Ledger) Owned() time.Time { return l.renewedAt }
 
-// Stalled returns for how long the store has carried out no commit although some were
+// Stalled returns how long the store has carried out no commit although some were
 // sent.
 func (l *Ledger) Stalled(now time.Time) time.Duration {
-	if l.failing.IsZero() {
+	if l.failingSince.IsZero() {
 		return 0
 	}
-	return now.Sub(l.failing)
+	return now.Sub(l.failingSince)
 }
 
-// Job returns a job, and false if there is none of the name.
+// Job returns a job. It reports false if the ledger has none of that ID.
 func (l *Ledger) Job(id string) (*Job, bool) {
 	j, ok := l.jobs[id]
 	return j, ok
@@ -190,11 +191,11 @@
 	return open
 }
 
-// Accept adds a job, which counts as stored with the fact Accepted.
+// Accept adds a job. It is stored once the change Accepted is committed.
 func (l *Ledger) Accept(submitted time.Time, w *work.Job) {
 	j := &Job{Job: *w, Submitted: submitted, Done: make([][]int, w.Slots()), Failures: make(map[work.TaskRef]int)}
 	l.jobs[w.ID] = j
-	l.change(w.ID, Fact{Kind: Accepted, Job: w.ID})
+	l.addChange(w.ID, Fact{Kind: Accepted, Job: w.ID})
 }
 
 // Stored reports whether a job has been stored.
@@ -203,11 +204,11 @@
 	return ok && j.stored
 }
 
-// End notes that a run has ended as done or failed.
-func (l *Ledger) End(t work.TaskRef, how work.End, m Mark) {
+// End records that a run has ended as done or failed.
+func (l *Ledger) End(t work.TaskRef, end work.End, m Mark) {
 	j, ok := l.jobs[t.Job]
 	if ok && j.State == "" {
-		switch how {
+		switch end {
 		case work.Done:
 			j.Done[j.Slot(t)] = append(j.Done[j.Slot(t)], t.Index)
 			delete(j.Failures, t)
@@ -215,10 +216,10 @@
 			j.Failures[t]++
 		}
 	}
-	l.change(t.Job, Fact{Kind: RunEnded, Job: t.Job, Mark: m})
+	l.addChange(t.Job, Fact{Kind: RunEnded, Job: t.Job, Mark: m})
 }
 
-// Close notes the state in which a job has ended, by the time of day.
+// Close records the state in which a job has ended, and the wall time of its end.
 func (l *Ledger) Close(wall time.Time, id string, s work.State) {
 	j, ok := l.jobs[id]
 	if !ok || j.State != "" {
@@ -226,19 +227,19 @@
 	}
 	j.State, j.Ended = s, wall
 	l.ended = append(l.ended, j)
-	l.change(id, Fact{Kind: JobEnded, Job: id, State: s})
+	l.addChange(id, Fact{Kind: JobEnded, Job: id, State: s})
 }
 
 // Pending reports whether a job has an end that the store has not acknowledged.
 func (l *Ledger) Pending(id string) bool {
 	j, ok := l.jobs[id]
-	return ok && j.State != "" && !j.closed
+	return ok && j.State != "" && !j.endStored
 }
 
-// Enroll makes sure that the next holder will ask an agent what runs there.
+// Enroll ensures that the next holder will ask an agent which runs are active there.
 func (l *Ledger) Enroll(agent string) {
 	if _, ok := l.agents[agent]; !ok && l.phase == held {
-		l.agents[agent], l.roll = false, true
+		l.agents[agent], l.enrollmentChanged = false, true
 	}
 }
 
@@ -246,11 +247,11 @@
 func (l *Ledger) Dismiss(agent string) {
 	if _, ok := l.agents[agent]; ok && l.phase == held {
 		delete(l.agents, agent)
-		l.roll = true
+		l.enrollmentChanged = true
 	}
 }
 
-// Enrolled returns the agents that the store names.
+// Enrolled returns the agents whose enrollment is stored.
 func (l *Ledger) Enrolled() []string {
 	var agents []string
 	for a, stored := range l.agents {
@@ -262,9 +263,9 @@
 	return agents
 }
 
-func (l *Ledger) change(id string, f Fact) {
+func (l *Ledger) addChange(id string, c Fact) {
 	if _, ok := l.changes[id]; !ok {
-		l.order = append(l.order, id)
+		l.changedJobs = append(l.changedJobs, id)
 	}
-	l.changes[id] = append(l.changes[id], f)
+	l.changes[id] = append(l.changes[id], c)
 }
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -15,26 +15,27 @@
 
 var cfg = ledger.Config{Keep: time.Minute, Refresh: 700 * time.Millisecond, Gap: 10 * time.Millisecond, Entries: 32, Flights: 4}
 
-// desk plays the store and the duty of one home around a Ledger.
-type desk struct {
-	t     *testing.T
-	st    *store.Memory
-	l     *ledger.Ledger
-	now   time.Time
-	facts []ledger.Fact
+// driver simulates the store and the commit loop of one home around a Ledger. The home
+// is the coordinator that places the tasks of a site.
+type driver struct {
+	t       *testing.T
+	st      *store.Memory
+	l       *ledger.Ledger
+	now     time.Time
+	changes []ledger.Fact
 }
 
-func newDesk(t *testing.T) *desk {
-	return (&desk{t: t, st: store.NewMemory(&clock.Manual{}), now: time.Unix(1000, 0)}).next("e1")
+func newDriver(t *testing.T) *driver {
+	return (&driver{t: t, st: store.NewMemory(&clock.Manual{}), now: time.Unix(1000, 0)}).nextHome("e1")
 }
 
-// next returns the desk of another home on the same store.
-func (d *desk) next(life string) *desk {
-	return &desk{t: d.t, st: d.st, l: ledger.New(cfg, life), now: d.now}
+// nextHome returns the driver of another home on the same store.
+func (d *driver) nextHome(life string) *driver {
+	return &driver{t: d.t, st: d.st, l: ledger.New(cfg, life), now: d.now}
 }
 
-// hold claims the ledger and reads it.
-func (d *desk) hold() {
+// acquire acquires the ledger and reads it.
+func (d *driver) acquire() {
 	d.t.Helper()
 	it, err := d.st.Get(d.t.Context(), ledger.TenureKey)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
@@ -46,14 +47,14 @@
 	d.l.Claim()
 	d.commit()
 	if err := d.l.Load(d.list(ledger.OpenPrefix)); err != nil || !d.l.Held() || d.l.Whole() {
-		d.t.Fatalf("held %t, whole %t: %v", d.l.Held(), d.l.Whole(), err)
+		d.t.Fatalf("held %t, ended jobs loaded %t: %v", d.l.Held(), d.l.Whole(), err)
 	}
 	if err := d.l.LoadEnded(d.list(ledger.EndedPrefix)); err != nil || !d.l.Whole() {
-		d.t.Fatalf("whole %t: %v", d.l.Whole(), err)
+		d.t.Fatalf("ended jobs loaded %t: %v", d.l.Whole(), err)
 	}
 }
 
-func (d *desk) list(prefix string) []store.Item {
+func (d *driver) list(prefix string) []store.Item {
 	d.t.Helper()
 	items, _, err := d.st.List(d.t.Context(), prefix)
 	if err != nil {
@@ -62,54 +63,54 @@
 	return items
 }
 
-// take returns what the ledger wants to commit next.
-func (d *desk) take() *ledger.Flight {
+// nextCommit returns what the ledger wants to commit next.
+func (d *driver) nextCommit() *ledger.Flight {
 	d.t.Helper()
 	d.now = d.now.Add(cfg.Gap)
-	f, err := d.l.Next(d.now, d.now)
+	p, err := d.l.Next(d.now, d.now)
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	return f
+	return p
 }
 
-// commit carries out what the ledger wants to commit and reports whether it was
-// deposed.
-func (d *desk) commit() (deposed bool) {
+// commit carries out what the ledger wants to commit, and reports whether the ledger
+// was deposed.
+func (d *driver) commit() (deposed bool) {
 	d.t.Helper()
-	f := d.take()
-	return f != nil && d.carryOut(f)
+	p := d.nextCommit()
+	return p != nil && d.carryOut(p)
 }
 
-// carryOut lets the store carry a commit out, and tells the result.
-func (d *desk) carryOut(f *ledger.Flight) (deposed bool) {
+// carryOut lets the store carry out a commit, and records the result.
+func (d *driver) carryOut(p *ledger.Flight) (deposed bool) {
 	d.t.Helper()
-	c := f.Commit()
+	c := p.Commit()
 	if n := 1 + len(c.Writes) + len(c.Deletes); n > cfg.Entries {
-		d.t.Fatalf("commit of %d entries", n)
+		d.t.Fatalf("commit has %d entries", n)
 	}
 	rev, err := d.st.Commit(c)
-	var facts []ledger.Fact
+	var changes []ledger.Fact
 	if conflict, ok := errors.AsType[*store.ConflictError](err); ok {
-		if facts, deposed, err = d.l.Conflict(f, conflict.Have); err != nil {
+		if changes, deposed, err = d.l.Conflict(p, conflict.Have); err != nil {
 			d.t.Fatal(err)
 		}
 	} else {
-		facts = d.l.Took(f, rev)
+		changes = d.l.Took(p, rev)
 	}
-	d.facts = append(d.facts, facts...)
+	d.changes = append(d.changes, changes...)
 	return deposed
 }
 
-func (d *desk) accept(id string) {
+func (d *driver) accept(id string) {
 	d.l.Accept(d.now, &work.Job{ID: id, Steps: []work.Step{{Count: 3}}, Stored: true})
 }
 
 func ref(id string, index int) work.TaskRef { return work.TaskRef{Job: id, Index: index} }
 
-func TestNextHolderKnowsJobsAndWhatIsDone(t *testing.T) {
-	d := newDesk(t)
-	d.hold()
+func TestNextHolderKnowsJobsAndProgress(t *testing.T) {
+	d := newDriver(t)
+	d.acquire()
 	d.accept("a")
 	d.accept("b")
 	d.l.Enroll("a1")
@@ -119,73 +120,72 @@
 	d.l.Close(d.now, "b", work.Completed)
 	d.commit()
 
-	o := d.next("e2")
-	o.hold()
+	o := d.nextHome("e2")
+	o.acquire()
 	open := o.l.Open()
 	if len(open) != 1 || open[0].ID != "a" || fmt.Sprint(open[0].Done) != "[[1]]" || open[0].Failures[ref("a", 2)] != 1 {
 		t.Errorf("open %+v", open)
 	}
 	if b, ok := o.l.Job("b"); !ok || b.State != work.Completed {
-		t.Errorf("b is %+v", b)
+		t.Errorf("job b is %+v", b)
 	}
 	if got := o.l.Enrolled(); len(got) != 1 || got[0] != "a1" {
 		t.Errorf("enrolled %v", got)
 	}
 }
 
-func TestNothingIsStoredBeforeTheStoreAnswered(t *testing.T) {
-	d := newDesk(t)
-	d.hold()
+func TestJobIsNotStoredBeforeTheStoreAnswers(t *testing.T) {
+	d := newDriver(t)
+	d.acquire()
 	d.accept("a")
-	f := d.take()
-	if f == nil || d.l.Stored("a") || len(d.facts) != 0 {
-		t.Fatalf("stored %t, facts %v", d.l.Stored("a"), d.facts)
+	p := d.nextCommit()
+	if p == nil || d.l.Stored("a") || len(d.changes) != 0 {
+		t.Fatalf("stored %t, changes %v", d.l.Stored("a"), d.changes)
 	}
-	d.carryOut(f)
-	if !d.l.Stored("a") || len(d.facts) != 1 || d.facts[0].Kind != ledger.Accepted {
-		t.Errorf("stored %t, facts %v", d.l.Stored("a"), d.facts)
+	d.carryOut(p)
+	if !d.l.Stored("a") || len(d.changes) != 1 || d.changes[0].Kind != ledger.Accepted {
+		t.Errorf("stored %t, changes %v", d.l.Stored("a"), d.changes)
 	}
 }
 
-// TestUnansweredCommitIsSentAgainUnderANewRevision, whether it was carried out or not.
+// It does not matter whether the store carried out the unanswered commit.
 func TestUnansweredCommitIsSentAgainUnderANewRevision(t *testing.T) {
-	for _, done := range []bool{true, false} {
-		d := newDesk(t)
-		d.hold()
+	for _, carriedOut := range []bool{true, false} {
+		d := newDriver(t)
+		d.acquire()
 		d.accept("a")
-		f := d.take()
-		if done {
-			if _, err := d.st.Commit(f.Commit()); err != nil {
+		p := d.nextCommit()
+		if carriedOut {
+			if _, err := d.st.Commit(p.Commit()); err != nil {
 				t.Fatal(err)
 			}
 		}
-		d.l.Lost(d.now, f)
+		d.l.Lost(d.now, p)
 		d.accept("b")
 		d.commit() // renews the tenure
 		if d.l.Stored("a") || d.l.Stored("b") {
-			t.Fatal("stored before it is known")
+			t.Fatal("stored before the store confirmed it")
 		}
 		d.commit()
-		if !d.l.Stored("a") || !d.l.Stored("b") || len(d.facts) != 2 {
-			t.Errorf("carried out %t: facts %v", done, d.facts)
+		if !d.l.Stored("a") || !d.l.Stored("b") || len(d.changes) != 2 {
+			t.Errorf("carried out %t: changes %v", carriedOut, d.changes)
 		}
-		if _, err := d.st.Commit(f.Commit()); err == nil {
+		if _, err := d.st.Commit(p.Commit()); err == nil {
 			t.Error("the store may still carry out the unanswered commit")
 		}
 	}
 }
 
-// TestJobThatEndsBeforeItsCreationIsKnownLeavesNoOpenItem: the commit that created it
-// may have been carried out.
-func TestJobThatEndsBeforeItsCreationIsKnownLeavesNoOpenItem(t *testing.T) {
-	d := newDesk(t)
-	d.hold()
+// The unanswered commit that created the job may have been carried out.
+func TestJobThatEndsBeforeCreationIsConfirmedLeavesNoOpenItem(t *testing.T) {
+	d := newDriver(t)
+	d.acquire()
 	d.accept("a")
-	f := d.take()
-	if _, err := d.st.Commit(f.Commit()); err != nil {
+	p := d.nextCommit()
+	if _, err := d.st.Commit(p.Commit()); err != nil {
 		t.Fatal(err)
 	}
-	d.l.Lost(d.now, f)
+	d.l.Lost(d.now, p)
 	d.l.Close(d.now, "a", work.Cancelled)
 	for range 3 {
 		d.commit()
@@ -198,103 +198,103 @@
 	}
 }
 
-func TestEndOfARunOfAForgottenJobIsAcknowledged(t *testing.T) {
-	d := newDesk(t)
-	d.hold()
+func TestEndOfRunOfUnknownJobIsAcknowledged(t *testing.T) {
+	d := newDriver(t)
+	d.acquire()
 	d.l.End(ref("forgotten", 0), work.Done, ledger.Mark{Agent: "a1", Seq: 7})
 	d.commit()
-	if len(d.facts) != 1 || d.facts[0].Mark.Seq != 7 {
-		t.Errorf("facts %v", d.facts)
+	if len(d.changes) != 1 || d.changes[0].Mark.Seq != 7 {
+		t.Errorf("changes %v", d.changes)
 	}
 }
 
-func TestCommitsSideBySideShareNoJob(t *testing.T) {
-	d := newDesk(t)
-	d.hold()
+func TestConcurrentCommitsShareNoJob(t *testing.T) {
+	d := newDriver(t)
+	d.acquire()
 	d.accept("a")
-	first := d.take()
+	first := d.nextCommit()
 	d.l.Close(d.now, "a", work.Cancelled)
 	d.accept("b")
-	second := d.take()
+	second := d.nextCommit()
 	if second == nil || len(second.Commit().Writes) != 1 {
 		t.Fatalf("second commit %+v", second)
 	}
 	d.carryOut(second)
 	if !d.l.Stored("b") || d.l.Stored("a") {
-		t.Error("the second commit was not taken by itself")
+		t.Error("result of the second commit was not recorded independently")
 	}
 	d.carryOut(first)
 	d.commit()
 	if d.l.Pending("a") {
-		t.Error("the end of a was not committed after its creation")
+		t.Error("end of job a was not committed after its creation")
 	}
 }
 
 func TestRefusedCommitIsSentAgain(t *testing.T) {
-	d := newDesk(t)
-	d.hold()
+	d := newDriver(t)
+	d.acquire()
 	d.accept("a")
-	d.l.Refused(d.now, d.take())
+	d.l.Refused(d.now, d.nextCommit())
 	d.commit()
 	if !d.l.Stored("a") || d.l.Stalled(d.now) != 0 {
-		t.Errorf("stored %t, stalled %v", d.l.Stored("a"), d.l.Stalled(d.now))
+		t.Errorf("stored %t, store outage %v", d.l.Stored("a"), d.l.Stalled(d.now))
 	}
 }
 
-func TestFormerHolderIsDeposed(t *testing.T) {
-	d := newDesk(t)
-	d.hold()
+func TestPreviousHolderIsDeposed(t *testing.T) {
+	d := newDriver(t)
+	d.acquire()
 	d.accept("a")
 	d.commit()
 	d.l.Close(d.now, "a", work.Completed)
-	stale := d.take() // on its way while another entry takes the ledger
-	o := d.next("e2")
-	o.hold()
+	stale := d.nextCommit() // in flight while another entry takes the ledger
+	o := d.nextHome("e2")
+	o.acquire()
 	if deposed := d.carryOut(stale); !deposed || d.l.Epoch() != 0 {
 		t.Errorf("deposed %t, epoch %d", deposed, d.l.Epoch())
 	}
 	if len(o.l.Open()) != 1 || o.l.Epoch() != 2 {
 		t.Errorf("open %d, epoch %d", len(o.l.Open()), o.l.Epoch())
 	}
-	if len(d.facts) != 1 {
-		t.Errorf("facts %v: the end was not stored", d.facts)
+	if len(d.changes) != 1 {
+		t.Errorf("changes %v: the end was not stored", d.changes)
 	}
 }
 
-func TestClaimThatLostItsAnswerHolds(t *testing.T) {
-	d := newDesk(t)
+func TestUnansweredAcquisitionHolds(t *testing.T) {
+	d := newDriver(t)
 	if err := d.l.Find(store.Item{}); err != nil {
 		t.Fatal(err)
 	}
 	d.l.Claim()
-	f := d.take()
-	if _, err := d.st.Commit(f.Commit()); err != nil {
+	p := d.nextCommit()
+	if _, err := d.st.Commit(p.Commit()); err != nil {
 		t.Fatal(err)
 	}
-	d.l.Lost(d.now, f)
+	d.l.Lost(d.now, p)
 	d.commit()
 	if d.l.Epoch() != 1 || !d.l.Loading() {
 		t.Errorf("epoch %d, loading %t", d.l.Epoch(), d.l.Loading())
 	}
 }
 
-func TestManyChangesFitIntoCommits(t *testing.T) {
-	d := newDesk(t)
-	d.hold()
+func TestManyChangesAreSplitIntoCommits(t *testing.T) {
+	d := newDriver(t)
+	d.acquire()
 	for i := range 100 {
 		d.accept(fmt.Sprint("job", i))
 	}
 	for range 10 {
 		d.commit()
 	}
-	if len(d.facts) != 100 {
-		t.Errorf("%d of 100 jobs stored after ten commits", len(d.facts))
+	if len(d.changes) != 100 {
+		t.Errorf("%d of 100 jobs stored after ten commits", len(d.changes))
 	}
 }
 
-func TestEndedJobsAreForgottenInTime(t *testing.T) {
-	d := newDesk(t)
-	d.hold()
+func TestEndedJobsAreDeletedAfterRetention(t *testing.T) {
+	d := newDriver(t)
+	d.acquire()
 	d.accept("a")
 	d.commit()
 	d.l.Close(d.now, "a", work.Completed)
@@ -302,21 +302,21 @@
 	d.now = d.now.Add(cfg.Keep - time.Second)
 	d.commit()
 	if _, ok := d.l.Job("a"); !ok {
-		t.Error("forgotten too early")
+		t.Error("deleted too early")
 	}
 	d.now = d.now.Add(2 * time.Second)
 	d.commit()
 	if _, ok := d.l.Job("a"); ok {
-		t.Error("kept in memory")
+		t.Error("still in memory")
 	}
 	if left := append(d.list(ledger.OpenPrefix), d.list(ledger.EndedPrefix)...); len(left) > 0 {
-		t.Errorf("kept in the store: %v", left)
+		t.Errorf("still in the store: %v", left)
 	}
 }
 
-func TestDismissedAgentIsNotAsked(t *testing.T) {
-	d := newDesk(t)
-	d.hold()
+func TestUnenrolledAgentIsNotListed(t *testing.T) {
+	d := newDriver(t)
+	d.acquire()
 	d.l.Enroll("a1")
 	d.l.Enroll("a2")
 	d.now = d.now.Add(cfg.Refresh)
@@ -324,8 +324,8 @@
 	d.l.Dismiss("a1")
 	d.now = d.now.Add(cfg.Refresh)
 	d.commit()
-	o := d.next("e2")
-	o.hold()
+	o := d.nextHome("e2")
+	o.acquire()
 	if got := o.l.Enrolled(); len(got) != 1 || got[0] != "a2" {
 		t.Errorf("enrolled %v", got)
 	}
--- a/ledger/record.go
+++ b/ledger/record.go
@@ -15,9 +15,9 @@
 const (
 	// TenureKey names the holder.
 	TenureKey = "masticbay/tenure"
-	// OpenPrefix is that of the jobs that have not ended, and of what belongs to them.
+	// OpenPrefix is the prefix of the keys of open jobs, their progress, and the agents.
 	OpenPrefix = "masticbay/ledger/"
-	// EndedPrefix is that of the jobs that have ended.
+	// EndedPrefix is the prefix of the keys of ended jobs.
 	EndedPrefix = "masticbay/ended/"
 
 	agentsKey      = OpenPrefix + "agents"
@@ -25,18 +25,18 @@
 	progressPrefix = OpenPrefix + "progress/"
 )
 
-// JobKeys returns the keys of which a job has one: that of an open job, and that of
-// one that has ended.
+// JobKeys returns the two possible keys of a job: the first while it is open, the
+// second once it has ended.
 func JobKeys(id string) []string { return []string{jobPrefix + id, EndedPrefix + id} }
 
 // tenure is the value of TenureKey.
 type tenure struct {
 	Life  string `json:"life"` // incarnation of the holder
 	Epoch uint64 `json:"epoch"`
-	Seq   uint64 `json:"seq"` // of its last commit
+	Seq   uint64 `json:"seq"` // number of the holder's last commit of the tenure
 }
 
-// jobValue is the value of a job; without Job once it has ended.
+// jobValue is the value of a job's item. Job is nil once the job has ended.
 type jobValue struct {
 	Job       *work.Job  `json:"job,omitempty"`
 	Submitted int64      `json:"submitted,omitempty"` // Unix milliseconds
@@ -44,7 +44,7 @@
 	Ended     int64      `json:"ended,omitempty"` // Unix milliseconds
 }
 
-// progressValue is the value of a job's progress.
+// progressValue is the value of the item with a job's progress.
 type progressValue struct {
 	Done     [][]int        `json:"done"`
 	Failures map[string]int `json:"failures,omitempty"` // by task
@@ -70,8 +70,8 @@
 	return json.Marshal(v)
 }
 
-// StateOf returns the state that the item of a job tells: queued for any that
-// has not ended.
+// StateOf returns the state in the item of a job: queued for any job that has not
+// ended.
 func StateOf(it store.Item) (s work.State, err error) {
 	var v jobValue
 	if err := json.Unmarshal(it.Value, &v); err != nil {
@@ -83,7 +83,7 @@
 	return v.State, nil
 }
 
-// decode takes the items of open jobs.
+// decode adds the jobs, their progress and the agents from the items under OpenPrefix.
 func (l *Ledger) decode(items []store.Item) (err error) {
 	progress := make(map[string]progressValue)
 	for _, it := range items {
@@ -106,7 +106,7 @@
 		if !ok || j.State != "" {
 			continue
 		}
-		j.progress = true
+		j.hasProgressItem = true
 		copy(j.Done, v.Done)
 		for name, n := range v.Failures {
 			t, err := work.ParseTaskRef(name)
@@ -138,13 +138,13 @@
 	if v.Job == nil || len(v.Job.Steps) == 0 {
 		return errors.NotValidf("item without a job")
 	}
-	j := &Job{Job: *v.Job, stored: true, tried: true, Submitted: time.UnixMilli(v.Submitted)}
+	j := &Job{Job: *v.Job, stored: true, maybeStored: true, Submitted: time.UnixMilli(v.Submitted)}
 	j.Done, j.Failures = make([][]int, j.Slots()), make(map[work.TaskRef]int)
 	l.jobs[id] = j
 	return nil
 }
 
-// decodeEnded takes the items of ended jobs; those that ended meanwhile are known.
+// decodeEnded adds the ended jobs, except those that ended since Load and are known.
 func (l *Ledger) decodeEnded(items []store.Item) error {
 	for _, it := range items {
 		id := strings.TrimPrefix(it.Key, EndedPrefix)
@@ -155,7 +155,7 @@
 		if err := json.Unmarshal(it.Value, &v); err != nil {
 			return errors.Annotatef(err, "decoding %q", it.Key)
 		}
-		j := &Job{stored: true, closed: true, State: v.State, Ended: time.UnixMilli(v.Ended)}
+		j := &Job{stored: true, endStored: true, State: v.State, Ended: time.UnixMilli(v.Ended)}
 		j.ID = id
 		l.jobs[id] = j
 		l.ended = append(l.ended, j)
--- a/ledger/result.go
+++ b/ledger/result.go
@@ -10,129 +10,129 @@
 	"masticbay/store"
 )
 
-// Took notes that a commit was carried out under a revision, and returns what lasts
-// now.
-func (l *Ledger) Took(f *Flight, rev uint64) (facts []Fact) {
-	if !l.lands(f) {
+// Took records that a commit succeeded with a revision, and returns the changes that
+// are durable now.
+func (l *Ledger) Took(p *Flight, rev uint64) (changes []Fact) {
+	if !l.removeInFlight(p) {
 		return nil
 	}
-	l.failing = time.Time{}
-	if f.first.After(l.owned) {
-		l.owned = f.first
+	l.failingSince = time.Time{}
+	if p.firstSentAt.After(l.renewedAt) {
+		l.renewedAt = p.firstSentAt
 	}
-	switch f.kind {
+	switch p.kind {
 	case plain:
-		return l.settle(f)
-	case claim:
-		l.claims, l.phase = false, loading
+		return l.applyCommitted(p)
+	case acquire:
+		l.acquiring, l.phase = false, loading
 	}
-	l.rev, l.tenure = rev, f.tenure
-	// Commits that were not answered before can not be carried out any more.
-	for _, old := range l.lost {
-		l.retry(old)
+	l.rev, l.tenure = rev, p.tenure
+	// Earlier unanswered commits can no longer succeed: the revision has changed.
+	for _, earlier := range l.unanswered {
+		l.retry(earlier)
 	}
-	l.lost = nil
-	return f.facts
+	l.unanswered = nil
+	return p.changes
 }
 
-// lands removes a commit from those that are under way, and reports whether it was
-// among them.
-func (l *Ledger) lands(f *Flight) bool {
-	f.sending = false
-	if f == l.turn {
-		l.turn = nil
+// removeInFlight removes a commit that awaits its result, and reports whether it was
+// found.
+func (l *Ledger) removeInFlight(p *Flight) bool {
+	p.awaitsResult = false
+	if p == l.tenureCommit {
+		l.tenureCommit = nil
 		return true
 	}
-	i := slices.Index(l.flights, f)
+	i := slices.Index(l.inFlight, p)
 	if i < 0 {
 		return false
 	}
-	l.flights = slices.Delete(l.flights, i, i+1)
+	l.inFlight = slices.Delete(l.inFlight, i, i+1)
 	return true
 }
 
-// settle notes that all of a commit lasts.
-func (l *Ledger) settle(f *Flight) []Fact {
-	for _, id := range f.jobs {
+// applyCommitted records that everything in a commit is durable.
+func (l *Ledger) applyCommitted(p *Flight) []Fact {
+	for _, id := range p.jobs {
 		delete(l.busy, id)
 	}
-	for _, j := range f.stored {
+	for _, j := range p.newJobs {
 		j.stored = true
 	}
-	for _, j := range f.closed {
-		j.closed = true
+	for _, j := range p.endedJobs {
+		j.endStored = true
 	}
-	for _, a := range f.agents {
+	for _, a := range p.newAgents {
 		if _, ok := l.agents[a]; ok {
 			l.agents[a] = true
 		}
 	}
-	return f.facts
+	return p.changes
 }
 
-// retry puts back what a commit held that was not carried out, or may not have been:
-// it says how things are, so that it does no harm if it is said twice.
-func (l *Ledger) retry(f *Flight) {
-	for _, id := range f.jobs {
+// retry queues the contents of a commit again that failed or may have failed. Its
+// writes state the result, so carrying them out twice does no harm.
+func (l *Ledger) retry(p *Flight) {
+	for _, id := range p.jobs {
 		delete(l.busy, id)
 		if _, ok := l.changes[id]; !ok {
-			l.order = append(l.order, id)
+			l.changedJobs = append(l.changedJobs, id)
 		}
 	}
-	for _, fact := range f.facts {
-		l.changes[fact.Job] = append(l.changes[fact.Job], fact)
+	for _, change := range p.changes {
+		l.changes[change.Job] = append(l.changes[change.Job], change)
 	}
-	l.roll = l.roll || f.roll
-	l.trash = append(l.trash, f.dropped...)
+	l.enrollmentChanged = l.enrollmentChanged || p.writesEnrollment
+	l.keysToDelete = append(l.keysToDelete, p.deletedKeys...)
 }
 
-// Refused notes that a commit was refused: nothing was done.
-func (l *Ledger) Refused(now time.Time, f *Flight) {
-	if l.failed(now, f) {
-		l.retry(f)
+// Refused records that a commit was refused: it had no effect.
+func (l *Ledger) Refused(now time.Time, p *Flight) {
+	if l.commitFailed(now, p) {
+		l.retry(p)
 	}
 }
 
-// Lost notes that a commit was not answered: it may be carried out yet.
-func (l *Ledger) Lost(now time.Time, f *Flight) {
-	if l.failed(now, f) {
-		l.lost = append(l.lost, f)
+// Lost records that a commit was not answered: the store may still carry it out.
+func (l *Ledger) Lost(now time.Time, p *Flight) {
+	if l.commitFailed(now, p) {
+		l.unanswered = append(l.unanswered, p)
 	}
 }
 
-// failed notes that a commit was not carried out, as far as is known, and reports
-// whether it is over; one of the tenure is sent again as it is.
-func (l *Ledger) failed(now time.Time, f *Flight) bool {
-	if l.failing.IsZero() {
-		l.failing = now
-	}
-	if f.kind != plain {
-		f.sending = false
+// commitFailed records that a commit did not succeed, as far as is known, and reports
+// whether it is no longer in flight. A commit of the tenure is sent again unchanged.
+func (l *Ledger) commitFailed(now time.Time, p *Flight) bool {
+	if l.failingSince.IsZero() {
+		l.failingSince = now
+	}
+	if p.kind != plain {
+		p.awaitsResult = false
 		return false
 	}
-	return l.lands(f)
+	return l.removeInFlight(p)
 }
 
-// Conflict takes the key of the tenure as it is when a commit's condition does not
-// hold. Either an earlier sending of a commit of the tenure was carried out, or the
-// tenure is another entry's now; then deposed is true if this entry held it, and all
-// that was not committed is forgotten.
-func (l *Ledger) Conflict(f *Flight, it store.Item) (facts []Fact, deposed bool, err error) {
-	if f != l.turn && !slices.Contains(l.flights, f) {
+// Conflict takes the tenure's key as it is when a commit's condition does not hold.
+// Either an earlier transmission of the tenure's commit succeeded, or another entry
+// holds the tenure now. In the second case deposed is true if this entry held it, and
+// everything that was not committed is discarded.
+func (l *Ledger) Conflict(p *Flight, it store.Item) (changes []Fact, deposed bool, err error) {
+	if p != l.tenureCommit && !slices.Contains(l.inFlight, p) {
 		return nil, false, nil
 	}
 	var t tenure
 	if it.Revision > 0 {
 		if err := json.Unmarshal(it.Value, &t); err != nil {
-			f.sending = false
+			p.awaitsResult = false
 			return nil, false, errors.Annotatef(err, "decoding %q", it.Key)
 		}
 	}
-	if f.kind != plain && t == f.tenure {
-		return l.Took(f, it.Revision), false, nil
+	if p.kind != plain && t == p.tenure {
+		return l.Took(p, it.Revision), false, nil
 	}
 	deposed = l.phase >= loading
-	l.forget()
-	l.claims = false
-	return nil, deposed, l.meet(it)
+	l.reset()
+	l.acquiring = false
+	return nil, deposed, l.observeHolder(it)
 }
