--- a/roster/roster.go
+++ b/roster/roster.go
@@ -1,22 +1,25 @@
-// Package roster tells which entries serve a site, and which of them is home:
-// the one at which all jobs meet.
+// Package roster determines which entries serve a site, and which of them is home,
+// the coordinator that places the tasks of the site.
 //
 // # Model
 //
-// Entries greet one another. Each tells whether it acts as home, under which
-// term, and how many agents it hears of. An entry follows the home of the
-// highest term that is in contact and hears of enough agents. If there is none,
-// the strongest entry in contact takes the next term. All entries greet a panel:
-// the home and the strongest ones, of which one will be the next home. Agents
-// announce themselves to the panel only, so that what each process spends on
-// contact hardly grows with the site. Two entries may act as
-// home for a while, for example on both sides of a cut: agents decide on the
-// room of their workers themselves and so serve both.
+// Entries greet one another: a greeting is a heartbeat between entries. Each greeting
+// says whether the sender acts as home, under which term, and how many agents it is in
+// contact with. An entry follows the home of the highest term that is in contact and
+// reaches enough agents. If there is none, the strongest entry in contact becomes home
+// under the next term. All entries greet a panel: the home and the candidates for
+// failover, which are the strongest entries. Agents announce themselves to the panel
+// only, so that the cost of contact per process hardly grows with the site. Two entries
+// may act as home for a while, for example on both sides of a network partition: agents
+// decide on the free capacity of their workers themselves and so can serve both.
+//
+// A term counts homes and is not the epoch of the ledger's tenure. An entry is "young"
+// during its startup wait.
 //
 // # Usage
 //
-//	r := roster.New(self, cfg)
-//	r.Hear(now, member)
+//	r := roster.New(now, self, cfg)
+//	r.RecordContact(now, member)
 //	home, ok := r.Home(now)
 package roster
 
@@ -28,68 +31,69 @@
 
 // Config holds the times of a Roster.
 type Config struct {
-	HomeSilence time.Duration // after which a home counts as out of contact; it is greeted often
-	Silence     time.Duration // after which another entry does
-	Listen      time.Duration // from the start, before an entry makes itself home
-	Forget      time.Duration // after which nothing is kept about a silent entry
-	Panel       int           // most entries on the panel that are not home
+	HomeSilence time.Duration // time without contact after which a home is out of contact; homes are greeted often
+	Silence     time.Duration // the same for other entries
+	Listen      time.Duration // time from the start in which an entry does not make itself home
+	Forget      time.Duration // how long an entry out of contact is retained
+	Panel       int           // most entries on the panel besides the home
 }
 
-// Member is what an entry tells about itself.
+// Member describes an entry in its greetings.
 type Member struct {
 	Name    string // of the VM
 	Address string // for the system's own processes
 	Life    string // incarnation of the process
 	Cores   float64
 	Leaving bool
-	Young   bool   // it still listens for a home and does not become one
+	Young   bool   // it is in its startup wait and cannot become home
 	Term    uint64 // under which it acts as home; 0 if it does not
-	Agents  int    // agents that it hears of
+	Agents  int    // number of agents that it is in contact with
 }
 
-// Roster is the view of one entry. New makes one.
+// Roster is one entry's view of the entries of a site. New makes one.
 type Roster struct {
-	cfg   Config
-	self  Member
-	since time.Time
-	peers map[string]*peer // by address
-	top   uint64           // highest term that was heard of
-	view  view
+	cfg         Config
+	self        Member
+	startedAt   time.Time
+	peers       map[string]*peer // by address
+	highestTerm uint64           // highest known term
+	view        view
 }
 
-// view is what was last computed from the members. On a large site it is asked for
-// thousands of times a second and changes a few times.
+// view caches the result of the last computation. On a large site it is read
+// thousands of times a second, but changes only a few times.
 type view struct {
-	at    time.Time
-	until time.Time // the first time at which a member may have fallen silent, or this entry is young no more
-	valid bool      // no member has changed since
-	home  Member
-	acts  bool // there is a home
-	panel []string
+	computedAt time.Time
+	validUntil time.Time // until a member may be out of contact or this entry's startup wait ends
+	unchanged  bool      // no member has changed since computedAt
+	home       Member
+	hasHome    bool // there is a home
+	panel      []string
 }
 
-func (r *Roster) fresh(now time.Time) bool {
-	return r.view.valid && !now.Before(r.view.at) && !now.After(r.view.until)
+func (r *Roster) viewValid(now time.Time) bool {
+	return r.view.unchanged && !now.Before(r.view.computedAt) && !now.After(r.view.validUntil)
 }
 
-// look computes the view.
-func (r *Roster) look(now time.Time) {
-	if r.fresh(now) {
+// refreshView computes the view unless it is valid.
+func (r *Roster) refreshView(now time.Time) {
+	if r.viewValid(now) {
 		return
 	}
-	home, ok := r.findHome(now)
-	r.view = view{at: now, until: r.unchanged(now), valid: true, home: home, acts: ok, panel: r.findPanel(now)}
+	home, ok := r.electHome(now)
+	r.view = view{computedAt: now, validUntil: r.contactsUnchangedUntil(now), unchanged: true, home: home, hasHome: ok, panel: r.findPanel(now)}
 }
 
-// unchanged returns until when the same members are in contact if none is heard.
-func (r *Roster) unchanged(now time.Time) time.Time {
+// contactsUnchangedUntil returns until when the same members are in contact if no
+// greeting arrives.
+func (r *Roster) contactsUnchangedUntil(now time.Time) time.Time {
 	until := now.Add(r.cfg.Silence)
-	if ready := r.since.Add(r.cfg.Listen); now.Before(ready) {
+	if ready := r.startedAt.Add(r.cfg.Listen); now.Before(ready) {
 		until = ready.Add(-1)
 	}
 	for _, p := range r.peers {
-		if silent := p.heard.Add(r.silence(p)); !silent.Before(now) && silent.Before(until) {
-			until = silent
+		if lostAt := p.lastContact.Add(r.contactTimeout(p)); !lostAt.Before(now) && lostAt.Before(until) {
+			until = lostAt
 		}
 	}
 	return until
@@ -97,51 +101,51 @@
 
 type peer struct {
 	Member
-	heard time.Time
+	lastContact time.Time
 }
 
-// New returns the view of the entry self, which has just started.
+// New returns the roster of an entry that has just started.
 func New(now time.Time, self Member, cfg Config) *Roster {
-	return &Roster{cfg: cfg, self: self, since: now, peers: make(map[string]*peer)}
+	return &Roster{cfg: cfg, self: self, startedAt: now, peers: make(map[string]*peer)}
 }
 
-// Self returns what this entry tells about itself.
+// Self returns the description of this entry.
 func (r *Roster) Self(now time.Time) Member {
-	r.self.Young = now.Sub(r.since) < r.cfg.Listen
+	r.self.Young = now.Sub(r.startedAt) < r.cfg.Listen
 	return r.self
 }
 
 // Leave marks this entry as leaving.
 func (r *Roster) Leave() {
 	r.self.Leaving, r.self.Term = true, 0
-	r.view.valid = false
+	r.view.unchanged = false
 }
 
-// SetAgents notes how many agents this entry hears of.
+// SetAgents records how many agents this entry is in contact with.
 func (r *Roster) SetAgents(n int) {
-	r.view.valid = r.view.valid && n == r.self.Agents
+	r.view.unchanged = r.view.unchanged && n == r.self.Agents
 	r.self.Agents = n
 }
 
-// Hear takes what an entry told about itself.
+// Hear records contact with an entry and its description.
 func (r *Roster) Hear(now time.Time, m Member) {
 	if m.Address == "" || m.Address == r.self.Address {
 		return
 	}
-	r.top = max(r.top, m.Term)
-	r.forget(now)
-	if before, ok := r.peers[m.Address]; !ok || before.Member != m || now.Sub(before.heard) > r.silence(before) {
-		r.view.valid = false
+	r.highestTerm = max(r.highestTerm, m.Term)
+	r.expirePeers(now)
+	if known, ok := r.peers[m.Address]; !ok || known.Member != m || now.Sub(known.lastContact) > r.contactTimeout(known) {
+		r.view.unchanged = false
 	}
-	r.peers[m.Address] = &peer{Member: m, heard: now}
+	r.peers[m.Address] = &peer{Member: m, lastContact: now}
 }
 
-// Lose notes that a peer's process is gone or unreachable.
+// Lose records that a peer's process has ended or is unreachable.
 func (r *Roster) Lose(address string) {
 	if p, ok := r.peers[address]; ok {
-		p.heard = time.Time{}
+		p.lastContact = time.Time{}
 		p.Term = 0
-		r.view.valid = false
+		r.view.unchanged = false
 	}
 }
 
@@ -149,7 +153,7 @@
 func (r *Roster) InContact(now time.Time) []Member {
 	var ms []Member
 	for _, p := range r.peers {
-		if now.Sub(p.heard) <= r.silence(p) {
+		if now.Sub(p.lastContact) <= r.contactTimeout(p) {
 			ms = append(ms, p.Member)
 		}
 	}
@@ -157,31 +161,31 @@
 	return ms
 }
 
-func (r *Roster) silence(p *peer) time.Duration {
+func (r *Roster) contactTimeout(p *peer) time.Duration {
 	if p.Term > 0 {
 		return r.cfg.HomeSilence
 	}
 	return r.cfg.Silence
 }
 
-// Home returns the entry that acts as home, which may be this one. It makes
-// this entry home if there is none and it is the strongest, and stops it from
-// being home if there is a better one.
+// Home returns the entry that acts as home, which may be this one. If there is no
+// home and this entry is the strongest, it becomes home. If there is a better home,
+// it stops acting as home.
 func (r *Roster) Home(now time.Time) (m Member, ok bool) {
-	r.look(now)
-	return r.view.home, r.view.acts
+	r.refreshView(now)
+	return r.view.home, r.view.hasHome
 }
 
-func (r *Roster) findHome(now time.Time) (m Member, ok bool) {
+func (r *Roster) electHome(now time.Time) (m Member, ok bool) {
 	members := append(r.InContact(now), r.Self(now))
-	most := 0
+	maxAgents := 0
 	for i := range members {
-		most = max(most, members[i].Agents)
+		maxAgents = max(maxAgents, members[i].Agents)
 	}
 	var home, strongest *Member
 	for i := range members {
 		m := &members[i]
-		if m.Leaving || 2*m.Agents < most {
+		if m.Leaving || 2*m.Agents < maxAgents {
 			continue
 		}
 		if m.Term > 0 && (home == nil || outranks(m, home)) {
@@ -191,10 +195,10 @@
 			strongest = m
 		}
 	}
-	mine := strongest != nil && strongest.Address == r.self.Address
-	if mine && (home == nil || strongest.Cores >= muchStronger*home.Cores) {
-		r.top++
-		r.self.Term = r.top
+	selfStrongest := strongest != nil && strongest.Address == r.self.Address
+	if selfStrongest && (home == nil || strongest.Cores >= takeoverFactor*home.Cores) {
+		r.highestTerm++
+		r.self.Term = r.highestTerm
 		return r.self, true
 	}
 	if home == nil {
@@ -206,10 +210,10 @@
 	return *home, true
 }
 
-// muchStronger is how many times as much processor an entry must have to take
-// over from a home that is well. A change costs little, since the former home
-// goes on with its jobs.
-const muchStronger = 1.5
+// takeoverFactor is how many times as much processor capacity as a working home an
+// entry must have to take over from it. A failover costs little, since the previous
+// home continues its jobs.
+const takeoverFactor = 1.5
 
 func outranks(a, b *Member) bool {
 	if a.Term != b.Term {
@@ -225,10 +229,10 @@
 	return a.Name < b.Name
 }
 
-// Panel returns the addresses of the home and of the strongest entries in contact
-// that stay, the strongest first. It must not be changed.
+// Panel returns the addresses of the home and of the strongest entries in contact that
+// are not leaving, the strongest first. The caller must not modify the result.
 func (r *Roster) Panel(now time.Time) []string {
-	r.look(now)
+	r.refreshView(now)
 	return r.view.panel
 }
 
@@ -250,10 +254,10 @@
 	return panel
 }
 
-// forget drops entries that have been silent for long.
-func (r *Roster) forget(now time.Time) {
+// expirePeers removes entries that have been out of contact for Config.PeerRetention.
+func (r *Roster) expirePeers(now time.Time) {
 	for a, p := range r.peers {
-		if now.Sub(p.heard) > r.cfg.Forget {
+		if now.Sub(p.lastContact) > r.cfg.Forget {
 			delete(r.peers, a)
 		}
 	}
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -31,13 +31,13 @@
 	}
 }
 
-func TestStrongestTakesOverAfterListening(t *testing.T) {
+func TestStrongestBecomesHomeAfterStartupWait(t *testing.T) {
 	r := newRoster("a")
 	r.Hear(begin, member("b", 0))
 	wantHome(t, r, begin, "")
 	wantHome(t, r, ready, "a")
 	if r.Self(ready).Term != 1 {
-		t.Error("no term was taken")
+		t.Error("the home has no term")
 	}
 }
 
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestSilentHomeIsReplacedSoon(t *testing.T) {
+func TestHomeOutOfContactIsReplaced(t *testing.T) {
 	r := newRoster("a")
 	r.Hear(ready, member("b", 3))
 	wantHome(t, r, ready.Add(cfg.HomeSilence), "b")
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestYoungEntryIsNotWaitedFor(t *testing.T) {
+func TestYoungEntryIsPassedOver(t *testing.T) {
 	r := newRoster("b")
 	young := member("a", 0)
 	young.Young = true
@@ -76,25 +76,25 @@
 	wantHome(t, r, ready, "b")
 }
 
-func TestTwoHomesBecomeOne(t *testing.T) {
+func TestHomeOfLowerTermStepsDown(t *testing.T) {
 	r := newRoster("a")
 	wantHome(t, r, ready, "a")
 	r.Hear(ready, member("b", 2))
 	wantHome(t, r, ready, "b")
 	if r.Self(ready).Term != 0 {
-		t.Error("still acts as home")
+		t.Error("entry a still acts as home")
 	}
 }
 
-func TestHomeThatHearsFewAgentsIsReplaced(t *testing.T) {
+func TestHomeInContactWithFewAgentsIsReplaced(t *testing.T) {
 	r := newRoster("a")
-	cut := member("b", 3)
-	cut.Agents = 2
-	r.Hear(ready, cut)
+	isolated := member("b", 3)
+	isolated.Agents = 2
+	r.Hear(ready, isolated)
 	wantHome(t, r, ready, "a")
 }
 
-func TestLeavingEntryIsNoHome(t *testing.T) {
+func TestLeavingEntryIsNotHome(t *testing.T) {
 	r := newRoster("a")
 	r.Hear(ready, member("b", 0))
 	wantHome(t, r, ready, "a")
@@ -105,9 +105,9 @@
 }
 
 func TestPanelIsTheStrongestAndTheHome(t *testing.T) {
-	few := cfg
-	few.Panel = 2
-	r := roster.New(begin, member("c", 0), few)
+	smallPanel := cfg
+	smallPanel.Panel = 2
+	r := roster.New(begin, member("c", 0), smallPanel)
 	strong := member("d", 0)
 	strong.Cores = 0.8
 	home := member("z", 3)
@@ -122,20 +122,20 @@
 	}
 }
 
-func TestPanelLeavesOutSilentEntries(t *testing.T) {
-	few := cfg
-	few.Panel = 1
-	r := roster.New(begin, member("b", 0), few)
+func TestPanelOmitsEntriesOutOfContact(t *testing.T) {
+	smallPanel := cfg
+	smallPanel.Panel = 1
+	r := roster.New(begin, member("b", 0), smallPanel)
 	r.Hear(begin, member("a", 0))
 	if got := r.Panel(begin); !slices.Equal(got, []string{"a:1"}) {
 		t.Errorf("panel %v while a is in contact", got)
 	}
 	if got := r.Panel(begin.Add(cfg.Silence + time.Millisecond)); !slices.Equal(got, []string{"b:1"}) {
-		t.Errorf("panel %v after a was silent", got)
+		t.Errorf("panel %v while a is out of contact", got)
 	}
 }
 
-// TestViewFollowsEveryChange: the view is kept until a member changes or falls silent.
+// The view is cached until a member changes or falls out of contact.
 func TestViewFollowsEveryChange(t *testing.T) {
 	r := newRoster("c")
 	b := member("b", 3)
@@ -150,8 +150,8 @@
 	wantHome(t, r, ready, "a")
 	r.Lose("a:1")
 	wantHome(t, r, ready, "c")
-	silent := ready.Add(cfg.HomeSilence + time.Millisecond)
-	r.Hear(silent, member("a", 11))
-	wantHome(t, r, silent, "a")
-	wantHome(t, r, silent.Add(cfg.HomeSilence+1), "c")
+	late := ready.Add(cfg.HomeSilence + time.Millisecond)
+	r.Hear(late, member("a", 11))
+	wantHome(t, r, late, "a")
+	wantHome(t, r, late.Add(cfg.HomeSilence+1), "c")
 }
