--- a/agent/agent.go
+++ b/agent/agent.go
@@ -1,14 +1,17 @@
-// Package agent is the process beside a target: the only one that starts tasks
+// Package agent implements the process beside a target, which alone starts tasks
 // on it.
 //
 // # Model
 //
-// An Agent holds a gate.Gate, which decides what may start, and a
-// credit.Lender, which lends the target's slots to entries, both guarded by
-// one mutex. Around them are duties, each a goroutine: serving calls of
-// entries, announcing the agent to entries, offering credits that have moved,
-// and watching the target. A task that may start is run by the goroutine of
-// its call, so their number is bounded by the slots.
+// An Agent has a gate.Gate, which decides which tasks may start, and a
+// credit.Lender, which lends the target's slots to entries as credits. One mutex
+// guards both. Around them run duties, which are goroutine loops: they serve calls
+// of entries, announce the agent to entries, offer credits that have moved, and
+// monitor the target. The goroutine of a call runs the task that the call starts,
+// so the number of those goroutines is bounded by the slots.
+//
+// When an agent stops, it hands its records over to an heir, its successor among
+// the agents of the same service.
 //
 // # Usage
 //
@@ -37,7 +40,7 @@
 	"masticbay/wire"
 )
 
-// Options are what a command gives to an agent besides its settings.
+// Options configure an agent beyond its settings.
 type Options struct {
 	Log     zerolog.Logger
 	Clock   clock.Clock       // clock.System if nil
@@ -47,38 +50,38 @@
 
 // Agent is a running agent.
 type Agent struct {
-	cfg      setting.Agent
-	log      zerolog.Logger
-	clock    clock.Clock
-	network  wire.Network
-	id       string
-	address  string
-	metrics  *telemetry.Metrics
-	messages *wire.Messages
-	counters counters
-	target   *http.Client
-	server   *wire.Server
-	web      *web.Server
-	rows     table.Replica
-	offers   chan string   // entries whose loan has grown; coalesced when full
-	changed  chan struct{} // wakes the announce duty
-	stop     chan struct{}
-	duties   sync.WaitGroup
-	starts   sync.WaitGroup // tasks that run
-
-	mu        sync.Mutex // guards what follows
-	gate      *gate.Gate
-	lender    *credit.Lender
-	announced target.Announcement
-	heard     time.Time // from the target
-	retiring  bool
-	links     map[string]*link // by the address of an entry
-	entries   []member.Entry
-	closed    bool
+	cfg         setting.Agent
+	log         zerolog.Logger
+	clock       clock.Clock
+	network     wire.Network
+	id          string
+	address     string
+	metrics     *telemetry.Metrics
+	messages    *wire.Messages
+	counters    counters
+	target      *http.Client
+	server      *wire.Server
+	web         *web.Server
+	rows        table.Replica
+	offers      chan string   // entries whose loan has grown; when full, an entry learns of it later
+	announceNow chan struct{} // makes announceDuty run at once
+	stop        chan struct{}
+	duties      sync.WaitGroup
+	starts      sync.WaitGroup // running tasks
+
+	mu                sync.Mutex // guards the fields below
+	gate              *gate.Gate
+	lender            *credit.Lender
+	announced         target.Announcement
+	lastTargetContact time.Time // time of the target's last announcement; zero if it has left
+	stopping          bool
+	links             map[string]*link // by the address of an entry
+	entries           []member.Entry
+	closed            bool
 }
 
-// Start starts an agent. Its incarnation is new each time. Without an HTTP
-// address in cfg the target announces itself by Hear.
+// Start starts an agent as a new incarnation. Without an HTTP address in cfg the
+// target announces itself by TakeAnnouncement.
 func Start(cfg setting.Agent, opts Options) (a *Agent, err error) {
 	defer func() { err = errors.Annotatef(err, "starting the agent at %s", cfg.RPC) }()
 	if opts.Clock == nil {
@@ -116,43 +119,43 @@
 	id := identity.New("agent")
 	p := cfg.Policy
 	a := &Agent{
-		cfg:      cfg,
-		log:      opts.Log,
-		clock:    opts.Clock,
-		network:  opts.Network,
-		id:       id,
-		address:  address,
-		metrics:  telemetry.NewMetrics("agent"),
-		messages: &wire.Messages{},
-		target:   newTargetClient(opts.Target),
-		offers:   make(chan string, offerRing),
-		changed:  make(chan struct{}, 1),
-		stop:     make(chan struct{}),
-		gate:     gate.New(id, gate.Config{Window: p.Retention(), StampLife: p.StampLife.D()}, now),
-		lender:   credit.NewLender(p.CreditThreshold()),
-		links:    make(map[string]*link),
+		cfg:         cfg,
+		log:         opts.Log,
+		clock:       opts.Clock,
+		network:     opts.Network,
+		id:          id,
+		address:     address,
+		metrics:     telemetry.NewMetrics("agent"),
+		messages:    &wire.Messages{},
+		target:      newTargetClient(opts.Target),
+		offers:      make(chan string, offerQueueSize),
+		announceNow: make(chan struct{}, 1),
+		stop:        make(chan struct{}),
+		gate:        gate.New(id, gate.Config{Window: p.Retention(), StampLife: p.StampLife.D()}, now),
+		lender:      credit.NewLender(p.CreditThreshold()),
+		links:       make(map[string]*link),
 	}
 	a.counters = newCounters(a.metrics)
 	a.gate.Drain(true) // until the target announces itself
 	return a
 }
 
-const offerRing = 64
+const offerQueueSize = 64
 
 func (a *Agent) newClient(address string) *wire.Client {
 	return wire.NewClient(address, wire.Options{Messages: a.messages, Network: a.network})
 }
 
-// ID returns the incarnation.
+// ID returns the agent's ID, which is new in each incarnation.
 func (a *Agent) ID() string { return a.id }
 
 // Done is closed when the agent has ended.
 func (a *Agent) Done() <-chan struct{} { return a.stop }
 
-// Messages counts what the agent has sent.
+// Messages returns the counters of the messages that the agent has sent.
 func (a *Agent) Messages() *wire.Messages { return a.messages }
 
-// status describes the agent to an entry.
+// status returns the agent's state as sent to an entry.
 func (a *Agent) status(entry string) wire.Status {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -179,7 +182,7 @@
 	return st
 }
 
-// Kill ends the agent at once, as a crash would.
+// Kill ends the agent at once, as a crash does.
 func (a *Agent) Kill() {
 	if a.close() {
 		a.server.Close()
@@ -188,7 +191,7 @@
 	}
 }
 
-// close ends the duties. It reports false if they had ended.
+// close stops the duties. It reports false if they had already been stopped.
 func (a *Agent) close() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/agent/run.go
+++ b/agent/call.go
@@ -23,11 +23,10 @@
 	targetConns       = 256
 )
 
-// newTargetClient returns the client of the target over rt, or over HTTP if rt
-// is nil. It is not httpc's: that
-// one adds a breaker, whose refusals and whose accounting would stand between
-// the gate and the target. A POST without an idempotency key is never sent
-// twice by net/http unless nothing of it was written.
+// newTargetClient returns the client of the target over rt, or over HTTP if rt is
+// nil. It does not use the client of httpc, whose circuit breaker would refuse and
+// count calls between the gate and the target. net/http never sends a POST without
+// an idempotency key twice unless nothing of it was written.
 func newTargetClient(rt http.RoundTripper) *http.Client {
 	if rt != nil {
 		return &http.Client{Transport: rt}
@@ -40,15 +39,15 @@
 	}}
 }
 
-// callTarget runs one task. It reports false if the target was proven not to
-// have been reached.
+// callTarget runs one task. It reports false if the target was certainly not
+// reached.
 func (a *Agent) callTarget(ctx context.Context, d *gate.Dispatch) (rep gate.Report, reached bool) {
 	ctx, span := telemetry.Span(telemetry.Extract(ctx, d.Trace), "agent → target")
 	defer span.End()
-	begin := a.clock.Now()
+	startedAt := a.clock.Now()
 	rep = gate.Report{Task: d.Task}
 	result, err := a.post(ctx, d)
-	rep.Took = a.clock.Now().Sub(begin)
+	rep.Took = a.clock.Now().Sub(startedAt)
 	if notReached(err) {
 		a.counters.unreached.Inc(1)
 		return rep, false
--- a/agent/link.go
+++ b/agent/link.go
@@ -12,21 +12,21 @@
 	"masticbay/wire"
 )
 
-// link is the agent's connection to one entry.
+// link is the agent's connection to an entry.
 type link struct {
-	client  *wire.Client
-	entry   string // incarnation, once known
-	spoke   time.Time
-	stretch int // factor on the pause between heartbeats
-	failing bool
+	client      *wire.Client
+	entry       string    // incarnation, once known
+	lastContact time.Time // last call or answer
+	stretch     int       // factor by which the entry lengthens the heartbeat interval
+	failing     bool
 }
 
 const callTimeout = 2 * time.Second
 
-// announceDuty keeps the entries informed. An entry that was called or
-// answered within the heartbeat is not called again.
+// announceDuty sends heartbeats to the entries. An entry that was called or has
+// answered within the heartbeat interval gets none.
 func (a *Agent) announceDuty() {
-	tick := time.NewTicker(a.cfg.Policy.Heartbeat.D() / heartbeatParts)
+	tick := time.NewTicker(a.cfg.Policy.Heartbeat.D() / checksPerHeartbeat)
 	defer tick.Stop()
 	for {
 		for _, l := range a.dueLinks() {
@@ -35,17 +35,17 @@
 		select {
 		case <-a.stop:
 			return
-		case <-a.changed:
+		case <-a.announceNow:
 		case <-tick.C:
 		}
 	}
 }
 
-// heartbeatParts is the number of looks at the links in one heartbeat.
-const heartbeatParts = 5
+// checksPerHeartbeat is how often the links are checked in one heartbeat interval.
+const checksPerHeartbeat = 5
 
-// dueLinks returns the links to announce at, after bringing the set of links
-// up to date with the entries that are known.
+// dueLinks updates the set of links to the known entries, and returns the links on
+// which to announce.
 func (a *Agent) dueLinks() (due []*link) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -53,34 +53,34 @@
 		return nil
 	}
 	now := a.clock.Now()
-	for _, addr := range a.wantedLocked() {
+	for _, addr := range a.wantedAddressesLocked() {
 		l := a.links[addr]
 		if l == nil {
 			l = &link{client: a.newClient(addr)}
 			a.links[addr] = l
 		}
-		if now.Sub(l.spoke) >= a.heartbeatLocked(l) || l.entry == "" {
-			l.spoke = now
+		if now.Sub(l.lastContact) >= a.heartbeatLocked(l) || l.entry == "" {
+			l.lastContact = now
 			due = append(due, l)
 		}
 	}
 	return due
 }
 
-// idleFactor is how much rarer heartbeats are to an entry that uses no slot.
-const idleFactor = 4
+// idleHeartbeatFactor lengthens the heartbeat interval of an entry that uses no slot.
+const idleHeartbeatFactor = 4
 
 func (a *Agent) heartbeatLocked(l *link) time.Duration {
 	d := a.cfg.Policy.Heartbeat.D() * time.Duration(max(1, l.stretch))
 	if !a.lender.Used(l.entry) {
-		return d * idleFactor
+		return d * idleHeartbeatFactor
 	}
-	return min(d, a.cfg.Policy.StampLife.D()/2) // or its credits lapse
+	return min(d, a.cfg.Policy.StampLife.D()/2) // or its credits expire
 }
 
-// wantedLocked returns the addresses of the entries to lend to. Links to others
-// are closed.
-func (a *Agent) wantedLocked() []string {
+// wantedAddressesLocked returns the addresses of the entries to lend to. It closes
+// the links to others.
+func (a *Agent) wantedAddressesLocked() []string {
 	addrs := slices.Clone(a.cfg.Entries)
 	if len(a.entries) > 0 {
 		addrs = addrs[:0]
@@ -90,16 +90,16 @@
 	}
 	for addr, l := range a.links {
 		if !slices.Contains(addrs, addr) && !slices.Contains(a.cfg.Entries, addr) {
-			a.dropLocked(addr, l)
+			a.closeLinkLocked(addr, l)
 		}
 	}
 	return addrs
 }
 
-// chooseEntries returns at most Policy.EntrySubset entries: the one that is
-// responsible for agents of the service, the homes of the service, and those
-// that take a home's place. Where there are more homes, each agent chooses
-// some of its own.
+// chooseEntries returns at most Policy.EntrySubset entries: the entry that is
+// responsible for agents of the service, the homes of the service, and their
+// successors. A home is a coordinator that places tasks of the service. If there are
+// more homes, each agent chooses some of them.
 func chooseEntries(entries []member.Entry, p *setting.Policy, service, agent string) (chosen []member.Entry) {
 	reg := member.Registry{Entries: entries}
 	add := func(e member.Entry) {
@@ -121,7 +121,7 @@
 	return chosen
 }
 
-func (a *Agent) dropLocked(addr string, l *link) {
+func (a *Agent) closeLinkLocked(addr string, l *link) {
 	l.client.Close()
 	delete(a.links, addr)
 	if l.entry != "" {
@@ -129,7 +129,7 @@
 	}
 }
 
-// announce shows one entry that the agent is alive, with a spread of credits.
+// announce sends a heartbeat to one entry, with a spread of credits.
 func (a *Agent) announce(l *link) {
 	a.mu.Lock()
 	if l.entry != "" {
@@ -142,10 +142,10 @@
 	defer cancel()
 	rep, err := wire.Call[wire.AnnounceArgs, wire.AnnounceReply](ctx, l.client, wire.EntryAnnounce, &args)
 	if err != nil {
-		a.lost(l, err)
+		a.linkFailed(l, err)
 		return
 	}
-	if a.met(l, rep) {
+	if a.linkAnswered(l, rep) {
 		a.offer(rep.Entry)
 	}
 	a.update(&rep.Update)
@@ -165,16 +165,16 @@
 	}
 }
 
-// met notes that an entry answered. It reports whether the entry is new, so
-// that it needs an offer of credits.
-func (a *Agent) met(l *link, rep *wire.AnnounceReply) bool {
+// linkAnswered records that an entry answered. It reports whether the entry is new
+// and so needs an offer of credits.
+func (a *Agent) linkAnswered(l *link, rep *wire.AnnounceReply) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if len(rep.Entries) > 0 {
 		a.entries = rep.Entries
 	}
-	fresh := l.entry != rep.Entry
-	if fresh && l.entry != "" {
+	isNew := l.entry != rep.Entry
+	if isNew && l.entry != "" {
 		a.lender.Forget(l.entry)
 	}
 	l.entry = rep.Entry
@@ -183,14 +183,14 @@
 		l.failing = false
 		a.log.Info().Str("entry", rep.Entry).Msg("entry reached again")
 	}
-	if fresh {
+	if isNew {
 		a.lender.Spread(rep.Entry)
 	}
-	return fresh
+	return isNew
 }
 
-// lost takes the credits back that an unreachable entry holds.
-func (a *Agent) lost(l *link, err error) {
+// linkFailed revokes the credits of an unreachable entry.
+func (a *Agent) linkFailed(l *link, err error) {
 	l.client.Reset()
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -199,7 +199,7 @@
 	}
 	if l.entry != "" {
 		a.lender.Forget(l.entry)
-		l.entry = "" // whoever answers next is introduced anew
+		l.entry = "" // the next entry that answers is treated as new
 	}
 	if !l.failing {
 		l.failing = true
@@ -207,8 +207,8 @@
 	}
 }
 
-// offer plans to tell an entry of its grown loan. When the ring is full the
-// entry learns of it with the next reply or heartbeat instead.
+// offer schedules an offer to an entry whose loan has grown. When the queue is full,
+// the entry learns of it with the next reply or heartbeat instead.
 func (a *Agent) offer(entry string) {
 	select {
 	case a.offers <- entry:
@@ -217,7 +217,7 @@
 	}
 }
 
-// offerDuty tells entries of credits that were moved to them.
+// offerDuty offers credits to entries to which they have moved.
 func (a *Agent) offerDuty() {
 	for {
 		select {
@@ -229,7 +229,7 @@
 	}
 }
 
-// recall asks an entry for its idle credits back.
+// recall asks an entry to return its idle credits.
 func (a *Agent) recall(entry string) {
 	a.sendOffer(entry, true)
 }
@@ -247,12 +247,12 @@
 	defer cancel()
 	rep, err := wire.Call[wire.OfferArgs, wire.OfferReply](ctx, l.client, wire.EntryOffer, &args)
 	if err != nil {
-		a.lost(l, errors.Annotate(err, "offering credits"))
+		a.linkFailed(l, errors.Annotate(err, "offering credits"))
 		return
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	l.spoke = a.clock.Now()
+	l.lastContact = a.clock.Now()
 	if recall {
 		a.lender.Return(entry, rep.Epoch, rep.Returned, rep.Demand)
 	}
--- a/agent/link_test.go
+++ b/agent/link_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestFewEntriesAreAllLentTo(t *testing.T) {
+func TestAgentLendsToAllOfFewEntries(t *testing.T) {
 	entries := []member.Entry{{ID: "e1"}, {ID: "e2"}, {ID: "e3"}}
 	p := setting.Default[setting.Agent]().Policy
 	if chosen := chooseEntries(entries, &p, "pickup", "a1"); len(chosen) != 3 {
--- a/agent/methods.go
+++ b/agent/methods.go
@@ -10,13 +10,12 @@
 	"masticbay/wire"
 )
 
-// methods are the calls that other processes make.
+// methods are the RPC methods that other processes call.
 type methods struct {
 	a *Agent
 }
 
-// Run starts a task if the gate allows it, and replies when the task has
-// ended.
+// Run starts a task if the gate allows it, and replies when the task has ended.
 func (m *methods) Run(args *wire.RunArgs, rep *wire.RunReply) error {
 	a, d := m.a, &args.Dispatch
 	dec := a.admit(args)
@@ -29,8 +28,8 @@
 	return nil
 }
 
-// admit lets the gate decide. If the verdict is Start, the caller owes a
-// starts.Done.
+// admit lets the gate decide on a dispatch. If the verdict is Start, the caller must
+// call starts.Done.
 func (a *Agent) admit(args *wire.RunArgs) gate.Decision {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -68,7 +67,7 @@
 	return gate.Decision{Verdict: gate.Recorded, Report: rep}
 }
 
-// Seal closes attempts and tells the state of their tasks.
+// Seal closes attempts and returns the state of their tasks.
 func (m *methods) Seal(args *wire.SealArgs, rep *wire.SealReply) error {
 	a := m.a
 	a.mu.Lock()
@@ -84,7 +83,7 @@
 	return nil
 }
 
-// Claim binds the agent to the ballots of a claim.
+// Claim binds the agent to the ballots of a claim; a ballot is used as in Paxos.
 func (m *methods) Claim(args *wire.ClaimArgs, rep *wire.ClaimReply) error {
 	a := m.a
 	a.mu.Lock()
@@ -95,8 +94,8 @@
 	return nil
 }
 
-// Ask grants credits to an entry that has waiting tasks, recalling idle ones
-// from other entries if none are spare.
+// Ask grants credits to an entry that has waiting tasks. If no credit is spare, it
+// recalls idle ones from other entries.
 func (m *methods) Ask(args *wire.AskArgs, rep *wire.AskReply) error {
 	a := m.a
 	a.mu.Lock()
@@ -114,19 +113,19 @@
 	return nil
 }
 
-// Update takes newer rows of the table and the registry revision over.
+// Update applies newer rows of the table and the registry revision.
 func (m *methods) Update(args *wire.UpdateArgs, rep *wire.UpdateReply) error {
 	m.a.update(args)
 	rep.Status = m.a.status(args.Entry)
 	return nil
 }
 
-// Handover takes the record of an agent that leaves.
+// Handover imports the records of an agent that is leaving.
 func (m *methods) Handover(args *wire.HandoverArgs, rep *wire.HandoverReply) error {
 	a := m.a
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.retiring {
+	if a.stopping {
 		return errors.New("the agent is leaving itself")
 	}
 	a.gate.Import(a.clock.Now(), &args.Handover)
--- a/agent/metrics.go
+++ b/agent/metrics.go
@@ -8,7 +8,7 @@
 	"masticbay/telemetry"
 )
 
-// counters are what the agent counts as it goes.
+// counters are the counters that the agent increments itself.
 type counters struct {
 	started, refused, succeeded, failed tally.Counter
 	unreached, seals, claims            tally.Counter
@@ -31,7 +31,7 @@
 
 const metricsInterval = time.Second
 
-// metricsDuty reports what is read rather than counted.
+// metricsDuty updates the metrics that are sampled.
 func (a *Agent) metricsDuty() {
 	requests := a.metrics.NewDelta("messages_requests")
 	replies := a.metrics.NewDelta("messages_replies")
--- a/agent/stop.go
+++ b/agent/stop.go
@@ -11,12 +11,12 @@
 	"masticbay/wire"
 )
 
-// Stop ends the agent as planned: it refuses new work, lets what runs end,
-// gives its record to a peer, tells the entries, and exits.
+// Stop ends the agent gracefully: it refuses new work, waits for running tasks, hands
+// its records over to a peer, and notifies the entries.
 func (a *Agent) Stop(ctx context.Context) (err error) {
 	defer func() { err = errors.Annotate(err, "stopping the agent") }()
 	a.mu.Lock()
-	a.retiring = true
+	a.stopping = true
 	a.applyLocked()
 	a.mu.Unlock()
 	if err := a.awaitIdle(ctx); err != nil {
@@ -35,7 +35,7 @@
 
 const (
 	idlePoll = 20 * time.Millisecond
-	// replyGrace lets the replies of the last tasks leave before the
+	// replyGrace is the time for the replies of the last tasks to be sent before the
 	// connections are closed.
 	replyGrace = 100 * time.Millisecond
 )
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// handOver gives the record to a peer of the same service and returns its
-// incarnation, or "" if no peer took it.
+// handOver hands the records over to a peer of the same service and returns the ID of
+// that heir, or "" if no peer took them.
 func (a *Agent) handOver(ctx context.Context) (heir string) {
 	a.mu.Lock()
 	h, ok := a.gate.Export(a.clock.Now())
@@ -117,7 +117,7 @@
 	return ls
 }
 
-// leave tells the entries that the agent is gone and who has its record.
+// leave notifies the entries that the agent has ended, and which agent is its heir.
 func (a *Agent) leave(ctx context.Context, heir string) {
 	for _, l := range a.reachable() {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -125,7 +125,7 @@
 		_, err := wire.Call[wire.LeaveArgs, wire.LeaveReply](ctx, l.client, wire.EntryLeave, &args)
 		cancel()
 		if err != nil {
-			a.log.Warn().Err(err).Msg("entry was not told of the stop")
+			a.log.Warn().Err(err).Msg("entry was not notified of the stop")
 		}
 	}
 }
--- a/agent/target.go
+++ b/agent/target.go
@@ -28,7 +28,7 @@
 	})
 }
 
-// handleAnnouncement takes what the target tells about itself.
+// handleAnnouncement takes an announcement that the target posts.
 func (a *Agent) handleAnnouncement(w http.ResponseWriter, r *http.Request) {
 	var ann target.Announcement
 	if err := json.NewDecoder(r.Body).Decode(&ann); err != nil {
@@ -46,8 +46,8 @@
 	web.Reply(w, http.StatusOK, a.status(""))
 }
 
-// Hear takes an announcement of the target over. The error tells what is wrong
-// with it.
+// Hear applies an announcement of the target unless it is out of date. It returns an
+// error if the announcement is invalid.
 func (a *Agent) Hear(ann target.Announcement) error {
 	if err := ann.Check(); err != nil {
 		return err
@@ -59,15 +59,15 @@
 		return nil
 	}
 	a.announced = ann
-	a.heard = a.clock.Now()
+	a.lastTargetContact = a.clock.Now()
 	if ann.Leaving {
-		a.heard = time.Time{}
+		a.lastTargetContact = time.Time{}
 	}
 	a.applyLocked()
 	return nil
 }
 
-// update takes newer rows and the registry revision over.
+// update applies newer rows of the table and the registry revision.
 func (a *Agent) update(u *wire.UpdateArgs) {
 	changed := a.rows.Apply(u.Rows, u.Table)
 	a.mu.Lock()
@@ -81,9 +81,9 @@
 	}
 }
 
-// applyLocked brings slots and draining in line with the target, its row in
-// the table, and the agent's own stop. All entries are told when draining
-// begins or ends, so that it takes effect before the next heartbeat.
+// applyLocked updates slots and draining from the target's announcement, its row in
+// the table, and the agent's own stop. When draining begins or ends, it notifies all
+// entries at once, so that the change takes effect before the next heartbeat.
 func (a *Agent) applyLocked() {
 	row := a.rowLocked()
 	slots := a.announced.Slots
@@ -94,23 +94,23 @@
 		slots = 0
 	}
 	a.lender.SetSlots(slots)
-	silent := a.clock.Now().Sub(a.heard) > a.cfg.TargetLost.D()
-	drain := a.retiring || silent || row.Drain || row.Removed
+	outOfContact := a.clock.Now().Sub(a.lastTargetContact) > a.cfg.TargetLost.D()
+	drain := a.stopping || outOfContact || row.Drain || row.Removed
 	if drain == a.gate.Draining() {
 		return
 	}
 	a.gate.Drain(drain)
-	a.log.Info().Bool("draining", drain).Str("target", a.announced.Name).Bool("silent", silent).Msg("target changed")
+	a.log.Info().Bool("draining", drain).Str("target", a.announced.Name).Bool("silent", outOfContact).Msg("target changed")
 	for _, l := range a.links {
-		l.spoke = time.Time{}
+		l.lastContact = time.Time{}
 	}
 	select {
-	case a.changed <- struct{}{}:
-	default: // the announce duty is awake already
+	case a.announceNow <- struct{}{}:
+	default: // announceDuty is already notified
 	}
 }
 
-// rowLocked returns the row of the target, removed rows included.
+// rowLocked returns the row of the target, including a removed row.
 func (a *Agent) rowLocked() table.Row {
 	r, ok := a.rows.Current().Row(table.Target, a.announced.Name)
 	if !ok && r.Revision > 0 {
@@ -119,7 +119,7 @@
 	return r
 }
 
-// targetDuty notices when the target falls silent.
+// targetDuty detects that the target is out of contact.
 func (a *Agent) targetDuty() {
 	tick := time.NewTicker(a.cfg.TargetLost.D() / 3)
 	defer tick.Stop()
--- a/agent/target_test.go
+++ b/agent/target_test.go
@@ -10,9 +10,9 @@
 	"masticbay/target"
 )
 
-// TestLateAnnouncementDoesNotBringALeavingTargetBack: one that was sent before
-// the target said that it leaves, and arrives after it, counts for nothing.
-func TestLateAnnouncementDoesNotBringALeavingTargetBack(t *testing.T) {
+// An announcement that was sent before the target said that it leaves, and arrives
+// after that, must be ignored.
+func TestLateAnnouncementDoesNotRevertLeaving(t *testing.T) {
 	cfg := setting.Default[setting.Agent]()
 	cfg.RPC, cfg.HTTP, cfg.Entries = "127.0.0.1:0", "", []string{"127.0.0.1:1"}
 	a, err := Start(cfg, Options{Log: zerolog.Nop(), Clock: clock.System{}})
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	defer a.Kill()
-	hear := func(ann target.Announcement) {
+	announce := func(ann target.Announcement) {
 		ann.Name, ann.Service, ann.Address, ann.Slots = "desk1", "pickup", "127.0.0.1:2", 4
 		if err := a.Hear(ann); err != nil {
 			t.Fatal(err)
@@ -31,17 +31,17 @@
 		defer a.mu.Unlock()
 		return a.gate.Draining()
 	}
-	hear(target.Announcement{Life: "first", Seq: 1})
+	announce(target.Announcement{Life: "first", Seq: 1})
 	if draining() {
-		t.Fatal("a target that announces itself drains")
+		t.Fatal("agent drains although the target has announced itself")
 	}
-	hear(target.Announcement{Life: "first", Seq: 3, Leaving: true})
-	hear(target.Announcement{Life: "first", Seq: 2})
+	announce(target.Announcement{Life: "first", Seq: 3, Leaving: true})
+	announce(target.Announcement{Life: "first", Seq: 2})
 	if !draining() {
-		t.Error("a late announcement brought a leaving target back")
+		t.Error("a late announcement reverted the target's leaving")
 	}
-	hear(target.Announcement{Life: "second", Seq: 1})
+	announce(target.Announcement{Life: "second", Seq: 1})
 	if draining() {
-		t.Error("a target that started anew is not taken")
+		t.Error("announcement of a restarted target was not accepted")
 	}
 }
