--- a/worker/worker.go
+++ b/worker/worker.go
@@ -150,6 +150,7 @@
 	}
 }
 
+// initialise records the time of the first message.
 func (g *Guard) initialise(now time.Time) {
 	if g.startedAt.IsZero() {
 		g.startedAt = now
