--- a/site/agent.go
+++ b/site/agent.go
@@ -19,49 +19,49 @@
 	"masticbay/worker"
 )
 
-// AgentOptions are what an Agent is made of.
+// AgentOptions are the parameters of StartAgent.
 type AgentOptions struct {
 	Node  *platform.Node
 	Log   zerolog.Logger
 	Clock clock.Clock // clock.Boot if nil
-	// Listen is where other processes of the site reach this one, behind address
-	// translation; the announced address if empty.
+	// Listen is the address to listen at for other processes of the site, if address
+	// translation makes it differ from the announced one; the announced one if empty.
 	Listen string
-	// RequestLines bounds the lines about single jobs and runs, a second; those of
-	// standard days of the small sites if zero.
+	// RequestLines bounds the log lines about single jobs and runs in each second;
+	// defaultRequestLines if zero.
 	RequestLines int
-	// Network is where the process is reached and reaches others; TCP if nil.
+	// Network carries the connections to and from other processes; TCP if nil.
 	Network wire.Network
 }
 
-// Agent is the daemon beside a worker. StartAgent makes one.
+// Agent is the daemon beside a worker. StartAgent creates one.
 type Agent struct {
-	node    *platform.Node
-	log     zerolog.Logger
-	perRun  zerolog.Logger // lines of single runs; bounded
-	clock   clock.Clock
-	life    string
-	worker  *platform.Worker
-	store   *platform.Store
-	rpc     *wire.Server
-	http    *http.Server
-	meter   *http.Server
-	metrics *agentMetrics
-	network wire.Network
-	stop    chan struct{}
-	entries entryList
+	node          *platform.Node
+	log           zerolog.Logger
+	runLog        zerolog.Logger // lines about single runs; rate-limited
+	clock         clock.Clock
+	life          string
+	worker        *platform.Worker
+	store         *platform.Store
+	rpc           *wire.Server
+	http          *http.Server
+	metricsServer *http.Server
+	metrics       *agentMetrics
+	network       wire.Network
+	stop          chan struct{}
+	entries       entryList
 
-	mu       sync.Mutex // guards what follows
-	guard    *worker.Guard
-	leaving  bool
-	news     chan struct{} // closed and replaced when there are events
-	taken    map[string]uint64
-	down     bool      // the worker was logged as silent
-	version  uint64    // of the worker's description
-	answered time.Time // when an entry last answered
+	mu            sync.Mutex // guards what follows
+	guard         *worker.Guard
+	leaving       bool
+	eventsReady   chan struct{}     // closed and replaced when there are events for homes
+	lastOrders    map[string]uint64 // by incarnation of a home: number of its last order taken
+	workerDown    bool              // the worker was logged as not answering
+	targetVersion uint64            // version of the worker's description
+	lastAnswered  time.Time         // when an entry last answered an announcement
 }
 
-// StartAgent starts the daemon.
+// StartAgent starts an agent and its servers.
 func StartAgent(o AgentOptions) (a *Agent, err error) {
 	defer func() { err = errors.Annotate(err, "starting the agent") }()
 	if o.Clock == nil {
@@ -69,10 +69,10 @@
 	}
 	dial := dialOf(o.Network)
 	a = &Agent{
-		node: o.Node, log: o.Log, perRun: bounded(o.Log, o.RequestLines), clock: o.Clock, life: identity.New("agent"),
+		node: o.Node, log: o.Log, runLog: rateLimited(o.Log, o.RequestLines), clock: o.Clock, life: identity.New("agent"),
 		worker: platform.NewWorker(o.Node.Worker, dial), store: platform.NewStore(o.Node.Store, dial), network: wire.OrTCP(o.Network), metrics: newAgentMetrics(),
 		stop:  make(chan struct{}),
-		guard: worker.NewGuard(GuardConfig(o.Node)), news: make(chan struct{}), taken: make(map[string]uint64),
+		guard: worker.NewGuard(GuardConfig(o.Node)), eventsReady: make(chan struct{}), lastOrders: make(map[string]uint64),
 	}
 	a.entries.add(a.now(), o.Node.Entries...)
 	if a.rpc, err = wire.NewServer("Agent", &agentMethods{a}, nil); err != nil {
@@ -82,13 +82,13 @@
 	if err != nil {
 		return nil, err
 	}
-	a.http = &http.Server{Handler: platform.HandleReports(a.report, a.badReport), ReadHeaderTimeout: time.Second}
-	a.meter = serveMetrics(a.metrics.all)
+	a.http = &http.Server{Handler: platform.HandleReports(a.takeReport, a.logBadReport), ReadHeaderTimeout: time.Second}
+	a.metricsServer = serveMetrics(a.metrics.all)
 	go a.rpc.Serve(lns[0])
 	go func() { _ = a.http.Serve(lns[1]) }()
-	go func() { _ = a.meter.Serve(lns[2]) }()
-	for range lookers {
-		go a.lookDuty()
+	go func() { _ = a.metricsServer.Serve(lns[2]) }()
+	for range pollers {
+		go a.pollLoop()
 	}
 	go a.tickDuty()
 	go a.announceDuty()
@@ -96,48 +96,49 @@
 	return a, nil
 }
 
-// Done returns a channel that is never closed: an agent ends only when it is
-// stopped.
+// Done returns a nil channel, which never becomes ready: an agent ends only when it
+// is stopped.
 func (a *Agent) Done() <-chan struct{} { return nil }
 
-// Reload takes changed settings; see Entry.Reload.
+// Reload applies changed settings; see Entry.Reload.
 func (a *Agent) Reload(n *platform.Node) { a.entries.add(a.now(), n.Entries...) }
 
-// Stop takes no new tasks, waits for those that run until ctx ends, and ends.
+// Stop takes no new tasks, waits until the running ones have ended or ctx ends, and
+// ends the agent.
 func (a *Agent) Stop(ctx context.Context) error {
 	a.mu.Lock()
 	a.leaving = true
-	a.tell()
+	a.signalEvents()
 	a.mu.Unlock()
 	a.log.Info().Msg("agent stops: waits for its runs")
-	for ctx.Err() == nil && a.runs() > 0 {
+	for ctx.Err() == nil && a.runCount() > 0 {
 		select {
 		case <-ctx.Done():
-		case <-time.After(stopPoll):
+		case <-time.After(stopPollInterval):
 		}
 	}
-	// The homes have to learn of the last ends.
-	time.Sleep(stopPoll)
-	a.log.Info().Int("runs", a.runs()).Msg("agent stopped")
+	// Leaves the homes time to learn of the last ends.
+	time.Sleep(stopPollInterval)
+	a.log.Info().Int("runs", a.runCount()).Msg("agent stopped")
 	a.Kill()
 	return nil
 }
 
-// Kill ends the agent at once, as the death of its process would.
+// Kill ends the agent at once, as a crash of its process would.
 func (a *Agent) Kill() {
 	close(a.stop)
 	a.rpc.Close()
 	_ = a.http.Close()
-	_ = a.meter.Close()
+	_ = a.metricsServer.Close()
 	a.metrics.all.Close()
 	a.worker.Close()
 	a.store.Close()
 }
 
-// stopPoll is how often a stop looks whether runs have ended.
-const stopPoll = 50 * time.Millisecond
+// stopPollInterval is how often Stop checks whether runs have ended.
+const stopPollInterval = 50 * time.Millisecond
 
-func (a *Agent) runs() int {
+func (a *Agent) runCount() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.guard.Running()
@@ -145,13 +146,15 @@
 
 func (a *Agent) now() time.Time { return a.clock.Now() }
 
-// stamp is the agent's time as homes echo it.
-func stamp(t time.Time) time.Duration { return time.Duration(t.UnixNano()) }
+// toStamp converts the agent's time to a stamp: the issuer's monotonic time, which
+// homes send back as an echo.
+func toStamp(t time.Time) time.Duration { return time.Duration(t.UnixNano()) }
 
-func unstamp(d time.Duration) time.Time { return time.Unix(0, int64(d)) }
+// fromStamp converts a stamp that was sent back by a home to the agent's time.
+func fromStamp(d time.Duration) time.Time { return time.Unix(0, int64(d)) }
 
-// report takes what the worker tells about itself.
-func (a *Agent) report(rep platform.WorkerReport) {
+// takeReport processes the worker's report about itself.
+func (a *Agent) takeReport(rep platform.WorkerReport) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	before, known := a.guard.Target()
@@ -166,25 +169,25 @@
 	if after, ok := a.guard.Target(); ok != known || after.Draining != before.Draining || after.Born != before.Born {
 		a.log.Info().Str("worker", after.ID).Int64("born", after.Born).Bool("draining", after.Draining).Bool("serves", ok).
 			Int("cpu", after.Capacity.CPU).Strs("labels", after.Labels).Msg("worker changed")
-		a.version++
-		a.tell()
-		go a.look(0)
+		a.targetVersion++
+		a.signalEvents()
+		go a.poll(0)
 	}
 }
 
-func (a *Agent) badReport(err error) {
-	a.log.Warn().Err(err).Msg("a report of the worker was not understood")
+func (a *Agent) logBadReport(err error) {
+	a.log.Warn().Err(err).Msg("cannot decode a report of the worker")
 }
 
-// tell wakes the homes that wait for news. The caller holds mu.
-func (a *Agent) tell() {
-	close(a.news)
-	a.news = make(chan struct{})
+// signalEvents ends the long polls of homes for events. The caller holds mu.
+func (a *Agent) signalEvents() {
+	close(a.eventsReady)
+	a.eventsReady = make(chan struct{})
 }
 
-// perform carries out the orders that the guard has decided on. The caller
-// holds mu.
-func (a *Agent) perform() {
+// executeOrders sends the orders that the guard has decided on to the worker. The
+// caller holds mu.
+func (a *Agent) executeOrders() {
 	for _, o := range a.guard.Take() {
 		if o.Stop {
 			go a.stopRun(o)
@@ -201,14 +204,14 @@
 	defer cancel()
 	sent := a.now()
 	ans, err := a.worker.Start(ctx, o.Start, o.Until, o.Token)
-	a.metrics.start.RecordDuration(a.now().Sub(sent))
+	a.metrics.startTime.RecordDuration(a.now().Sub(sent))
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if err != nil {
 		a.metrics.unanswered.Inc(1)
-		a.perRun.Warn().Err(err).Str("run", o.Start.Run.String()).Uint64("token", o.Token).Msg("start not answered")
+		a.runLog.Warn().Err(err).Str("run", o.Start.Run.String()).Uint64("token", o.Token).Msg("start not answered")
 		a.guard.Unanswered(o.Start.Run)
-		go a.look(0) // with the higher token
+		go a.poll(0) // with the higher fencing token
 		return
 	}
 	reason := ""
@@ -217,12 +220,12 @@
 	} else {
 		reason = ans.Reason
 		a.metrics.refused.Inc(1)
-		a.perRun.Info().Str("run", o.Start.Run.String()).Str("reason", reason).Uint64("token", o.Token).Msg("start refused by the worker")
+		a.runLog.Info().Str("run", o.Start.Run.String()).Str("reason", reason).Uint64("token", o.Token).Msg("start refused by the worker")
 	}
 	a.guard.Started(a.now(), o.Start.Run, reason, reason == platform.ReasonFence)
-	a.perform()
+	a.executeOrders()
 	if reason != "" {
-		a.tell()
+		a.signalEvents()
 	}
 }
 
@@ -230,13 +233,14 @@
 	ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
 	defer cancel()
 	if _, err := a.worker.Stop(ctx, o.Start.Run, o.Token); err != nil {
-		// The next look repeats it if the run is still there.
-		a.perRun.Warn().Err(err).Str("run", o.Start.Run.String()).Msg("stop not answered")
+		// The next poll repeats the order if the run is still there.
+		a.runLog.Warn().Err(err).Str("run", o.Start.Run.String()).Msg("stop not answered")
 	}
 }
 
-// lookDuty keeps the lease of the worker's runs and learns of their ends.
-func (a *Agent) lookDuty() {
+// pollLoop polls the worker, which renews the lease of its runs and returns their
+// ends.
+func (a *Agent) pollLoop() {
 	for {
 		select {
 		case <-a.stop:
@@ -244,10 +248,10 @@
 		default:
 		}
 		pause := time.Duration(0)
-		if !a.look(lookWait) {
-			pause = lookPause
-		} else if a.holding() {
-			pause = holdPause
+		if !a.poll(pollWait) {
+			pause = pollRetryInterval
+		} else if a.retainsEnds() {
+			pause = retainedEndsPollInterval
 		}
 		if pause > 0 {
 			select {
@@ -259,87 +263,87 @@
 	}
 }
 
-// lookPause is the pause after a look that failed.
-const lookPause = 20 * time.Millisecond
+// pollRetryInterval is the time between a poll that failed and the next one.
+const pollRetryInterval = 20 * time.Millisecond
 
-// holdPause is the pause between looks that do not wait, as the worker lists ends
-// that it must not forget yet.
-const holdPause = 10 * time.Millisecond
+// retainedEndsPollInterval is the time between polls while the worker lists ends that
+// it must not delete yet, since such polls return without waiting.
+const retainedEndsPollInterval = 10 * time.Millisecond
 
-func (a *Agent) holding() bool {
+func (a *Agent) retainsEnds() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.guard.Holding()
 }
 
-// look asks the worker once, which may wait for an end, and reports whether it
-// answered.
-func (a *Agent) look(wait time.Duration) bool {
+// poll renews the lease and asks the worker for its runs and ends once. The worker
+// may wait for an end before it answers. The result reports whether it answered.
+func (a *Agent) poll(wait time.Duration) bool {
 	a.mu.Lock()
-	token, seen, until := a.guard.Token(), a.guard.Seen(), a.guard.Until(a.now())
+	token, ackedEnd, until := a.guard.Token(), a.guard.Seen(), a.guard.Until(a.now())
 	a.mu.Unlock()
-	ctx, cancel := context.WithTimeout(context.Background(), wait+lookSlack)
+	ctx, cancel := context.WithTimeout(context.Background(), wait+pollSlack)
 	defer cancel()
-	ans, err := a.worker.Hold(ctx, until, token, seen, wait)
+	ans, err := a.worker.Hold(ctx, until, token, ackedEnd, wait)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.now()
 	switch {
 	case err != nil:
-		a.metrics.failed.Inc(1)
+		a.metrics.pollsFailed.Inc(1)
 		a.guard.LookFailed(now)
 		if a.guard.Silent() {
-			a.noteSilence(true, err)
-			a.tell()
+			a.logWorkerContact(true, err)
+			a.signalEvents()
 		}
 		return false
 	case !ans.Taken:
 		if ans.Reason == platform.ReasonFence {
 			a.guard.Fenced(now, ans.Clock, token)
 		}
-		a.log.Info().Str("reason", ans.Reason).Uint64("token", token).Msg("look refused by the worker")
+		a.log.Info().Str("reason", ans.Reason).Uint64("token", token).Msg("poll refused by the worker")
 		return ans.Reason == platform.ReasonFence
 	}
-	a.noteSilence(false, nil)
-	l := worker.Look{Token: token, Born: ans.Born, Clock: ans.Clock, Running: make(map[work.Run]int, len(ans.Running)), Saved: make(map[work.Run]string)}
+	a.logWorkerContact(false, nil)
+	snapshot := worker.Look{Token: token, Born: ans.Born, Clock: ans.Clock, Running: make(map[work.Run]int, len(ans.Running)), Saved: make(map[work.Run]string)}
 	for _, r := range ans.Running {
-		l.Running[r.Run] = r.Percent
+		snapshot.Running[r.Run] = r.Percent
 		if r.Checkpoint != "" {
-			l.Saved[r.Run] = r.Checkpoint
+			snapshot.Saved[r.Run] = r.Checkpoint
 		}
 	}
 	for _, e := range ans.Ended {
-		l.Ended = append(l.Ended, worker.Ended{Number: e.Number, Run: e.Run, End: e.End, Saved: e.Checkpoint})
+		snapshot.Ended = append(snapshot.Ended, worker.Ended{Number: e.Number, Run: e.Run, End: e.End, Saved: e.Checkpoint})
 	}
-	before := a.guard.Running()
-	a.guard.Looked(now, l)
-	a.perform()
-	if a.guard.Running() != before {
-		a.tell()
+	runsBefore := a.guard.Running()
+	a.guard.Looked(now, snapshot)
+	a.executeOrders()
+	if a.guard.Running() != runsBefore {
+		a.signalEvents()
 	}
 	if a.guard.Unclear() {
-		go a.look(0) // with the higher token
+		go a.poll(0) // with the higher fencing token
 	}
 	return true
 }
 
-// noteSilence logs when the worker stops or begins to answer. The caller holds
-// mu.
-func (a *Agent) noteSilence(silent bool, err error) {
-	if silent == a.down {
+// logWorkerContact logs when the worker stops answering or answers again. The caller
+// holds mu.
+func (a *Agent) logWorkerContact(isDown bool, err error) {
+	if isDown == a.workerDown {
 		return
 	}
-	a.down = silent
-	if silent {
+	a.workerDown = isDown
+	if isDown {
 		a.log.Warn().Err(err).Msg("worker does not answer")
 		return
 	}
 	a.log.Info().Msg("worker answers")
 }
 
-// tickDuty stops the runs of homes that are silent.
+// tickDuty is the loop that stops the runs of homes that are out of contact.
 func (a *Agent) tickDuty() {
-	tick := time.NewTicker(agentContact / 4)
+	tick := time.NewTicker(stopRunsAfter / 4)
 	defer tick.Stop()
 	for {
 		select {
@@ -349,11 +353,11 @@
 		}
 		a.mu.Lock()
 		stopped := a.guard.Tick(a.now())
-		a.perform()
+		a.executeOrders()
 		a.mu.Unlock()
 		a.metrics.orphaned.Inc(int64(len(stopped)))
 		for _, r := range stopped {
-			a.perRun.Warn().Str("run", r.String()).Msg("run stopped: its home is out of contact")
+			a.runLog.Warn().Str("run", r.String()).Msg("run stopped: its home is out of contact")
 		}
 	}
 }
--- a/site/agent_announce.go
+++ b/site/agent_announce.go
@@ -9,20 +9,21 @@
 	"masticbay/wire"
 )
 
-// entryList is the set of entry addresses that a process knows. Its zero value
-// is empty and ready to use.
+// entryList is the set of entry addresses that a process knows. The zero value is an
+// empty list, ready to use.
 type entryList struct {
 	mu        sync.Mutex   // guards addresses
-	addresses []knownEntry // the one that was told longest ago first
+	addresses []knownEntry // by lastNamed, the oldest first
 }
 
+// knownEntry is the address of an entry, and when another process last named it.
 type knownEntry struct {
-	address string
-	told    time.Time
+	address   string
+	lastNamed time.Time
 }
 
-// maxEntries bounds the list, since addresses that are no longer used stay in
-// it: several times the panel.
+// maxEntries bounds the list, since addresses that are no longer used stay in it. It
+// is several times the size of the panel (home and the candidates for failover).
 const maxEntries = 64
 
 func (l *entryList) add(now time.Time, addresses ...string) {
@@ -40,13 +41,13 @@
 	}
 }
 
-// since returns the addresses that were told at a time or later.
-func (l *entryList) since(t time.Time) []string {
+// namedSince returns the addresses that were named at t or later.
+func (l *entryList) namedSince(t time.Time) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var recent []string
 	for _, e := range l.addresses {
-		if !e.told.Before(t) {
+		if !e.lastNamed.Before(t) {
 			recent = append(recent, e.address)
 		}
 	}
@@ -54,78 +55,79 @@
 }
 
 // all returns all addresses.
-func (l *entryList) all() []string { return l.since(time.Time{}) }
+func (l *entryList) all() []string { return l.namedSince(time.Time{}) }
 
-// announceDuty tells the entries of the panel of this agent, each in a goroutine
-// of its own, so that one that is out of contact does not delay the others. While
-// none answers, it tells all entries that it knows.
+// announceDuty is the loop that announces this agent to the entries of the panel, each
+// in its own goroutine, so that an entry out of contact does not delay the others.
+// While no entry answers, it announces the agent to all entries that it knows.
 func (a *Agent) announceDuty() {
-	told := make(map[string]context.CancelFunc)
+	announcers := make(map[string]context.CancelFunc)
 	defer func() {
-		for _, stop := range told {
+		for _, stop := range announcers {
 			stop()
 		}
 	}()
-	var lookup time.Time
+	var lastLookup time.Time
 	for {
 		now := a.now()
 		a.mu.Lock()
-		lonely := now.Sub(a.answered) > lonelyAfter
+		noEntryAnswers := now.Sub(a.lastAnswered) > unansweredLimit
 		a.mu.Unlock()
-		panel := a.entries.since(now.Add(-panelKnown))
-		if lonely {
+		panel := a.entries.namedSince(now.Add(-panelMaxAge))
+		if noEntryAnswers {
 			panel = a.entries.all()
 		}
-		a.announceToAll(told, panel)
-		if lonely && now.Sub(lookup) > entryLookup {
-			lookup = now
+		a.updateAnnouncers(announcers, panel)
+		if noEntryAnswers && now.Sub(lastLookup) > entryLookupInterval {
+			lastLookup = now
 			go a.findEntries()
 		}
 		select {
 		case <-a.stop:
 			return
-		case <-time.After(announceSoon / 4):
+		case <-time.After(startupAnnounceInterval / 4):
 		}
 	}
 }
 
-// announceToAll makes told the announcements to the entries of the panel.
-func (a *Agent) announceToAll(told map[string]context.CancelFunc, panel []string) {
+// updateAnnouncers starts and stops goroutines so that announcers has one for each
+// entry of the panel.
+func (a *Agent) updateAnnouncers(announcers map[string]context.CancelFunc, panel []string) {
 	for _, address := range panel {
-		if _, ok := told[address]; !ok {
+		if _, ok := announcers[address]; !ok {
 			ctx, stop := context.WithCancel(context.Background())
-			told[address] = stop
-			go a.announceTo(ctx, address)
+			announcers[address] = stop
+			go a.announceRepeatedly(ctx, address)
 		}
 	}
-	for address, stop := range told {
+	for address, stop := range announcers {
 		if !slices.Contains(panel, address) {
 			stop()
-			delete(told, address)
+			delete(announcers, address)
 		}
 	}
 }
 
-// lonelyAfter is the time without an answer after which an agent announces itself to
-// all entries that it knows: two rounds of announcements and a time-out.
-const lonelyAfter = 2*announceEvery + greetTimeout
+// unansweredLimit is the time without an answer after which an agent announces itself
+// to all entries that it knows: two rounds of announcements and a timeout.
+const unansweredLimit = 2*announceInterval + greetTimeout
 
-// panelKnown is how long an entry is announced to that no entry names any more: a
+// panelMaxAge is how long announcements to an entry go on after it was last named. A
 // few announcements may get no answer.
-const panelKnown = 4 * announceEvery
+const panelMaxAge = 4 * announceInterval
 
-// entryLookup is the pause between looks for entries in the store.
-const entryLookup = 3 * time.Second
+// entryLookupInterval is the time between searches for entries in the store.
+const entryLookupInterval = 3 * time.Second
 
-// announceTo tells one entry again and again.
-func (a *Agent) announceTo(ctx context.Context, address string) {
+// announceRepeatedly announces this agent to one entry until ctx ends.
+func (a *Agent) announceRepeatedly(ctx context.Context, address string) {
 	c := wire.NewClient(address, rpcOptions(a.network))
 	defer c.Close()
-	begun := a.now()
+	startedAt := a.now()
 	for {
-		pause := announceEvery
-		if !a.announce(c) && a.now().Sub(begun) < announceYoung {
-			pause = announceSoon
+		pause := announceInterval
+		if !a.announce(c) && a.now().Sub(startedAt) < startupAnnounceFor {
+			pause = startupAnnounceInterval
 		}
 		select {
 		case <-ctx.Done():
@@ -135,7 +137,7 @@
 	}
 }
 
-// announce tells one entry and reports whether it answered.
+// announce announces this agent to one entry and reports whether the entry answered.
 func (a *Agent) announce(c *wire.Client) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), greetTimeout)
 	defer cancel()
@@ -148,34 +150,34 @@
 	a.entries.add(a.now(), rep.Panel...)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.answered = a.now()
+	a.lastAnswered = a.now()
 	return true
 }
 
-// rpcOptions bound the connections between the processes of a site. A dial
-// that takes longer than the round trip between data centres by far has hit a
-// cut.
+// rpcOptions returns the limits of connections between the processes of a site. A
+// dial that takes far longer than the round trip between data centres has met a
+// network partition.
 func rpcOptions(n wire.Network) wire.Options {
-	return wire.Options{DialTimeout: rpcLimit, WriteTimeout: rpcLimit, Network: n}
+	return wire.Options{DialTimeout: rpcTimeout, WriteTimeout: rpcTimeout, Network: n}
 }
 
-// rpcLimit is far above the time between data centres.
-const rpcLimit = 300 * time.Millisecond
+// rpcTimeout is far above the round trip between data centres.
+const rpcTimeout = 300 * time.Millisecond
 
 // findEntries reads the addresses of entries from the store.
 func (a *Agent) findEntries() {
-	ctx, cancel := context.WithTimeout(context.Background(), entryLookup)
+	ctx, cancel := context.WithTimeout(context.Background(), entryLookupInterval)
 	defer cancel()
 	items, err := a.store.List(ctx, entriesPrefix)
 	if err != nil {
-		a.log.Warn().Err(err).Msg("no entry answers, and the store neither")
+		a.log.Warn().Err(err).Msg("neither an entry nor the store answers")
 		return
 	}
 	for _, it := range items {
-		a.entries.add(time.Time{}, string(it.Value)) // none of the panel, as far as is known
+		a.entries.add(time.Time{}, string(it.Value)) // not known to be on the panel
 	}
 }
 
-// entriesPrefix is where entries write their addresses; a key is the name of a
-// VM.
+// entriesPrefix is the prefix of the keys under which entries store their addresses;
+// the rest of a key is the name of a VM.
 const entriesPrefix = "masticbay/entries/"
--- a/site/agent_methods.go
+++ b/site/agent_methods.go
@@ -8,57 +8,58 @@
 	"masticbay/worker"
 )
 
-// agentMethods are what homes call.
+// agentMethods are the RPC methods that homes call.
 type agentMethods struct {
 	a *Agent
 }
 
-// Sync takes orders from a home and returns news once there is any.
+// Sync takes orders from a home, waits for events (a long poll), and returns a report.
 func (m *agentMethods) Sync(args *SyncArgs, reply *SyncReply) error {
 	a := m.a
 	a.mu.Lock()
-	a.guard.Hear(args.Home, unstamp(args.Echo))
+	a.guard.Hear(args.Home, fromStamp(args.Echo))
 	if args.Life == a.life {
-		a.own(args)
+		a.applyTenure(args)
 	}
 	if args.Life == a.life {
 		a.takeOrders(args)
 	}
-	news := a.news
-	fresh := newer(a.guard.Events(args.Home, args.Acked), args.Known)
+	eventsReady := a.eventsReady
+	hasNew := hasNewer(a.guard.Events(args.Home, args.Acked), args.Known)
 	a.mu.Unlock()
-	if args.Wait > 0 && !fresh {
+	if args.Wait > 0 && !hasNew {
 		t := time.NewTimer(args.Wait)
 		select {
-		case <-news:
+		case <-eventsReady:
 		case <-t.C:
 		}
 		t.Stop()
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	reply.Stamp = stamp(a.now())
-	reply.Taken = a.taken[args.Home]
+	reply.Stamp = toStamp(a.now())
+	reply.Taken = a.lastOrders[args.Home]
 	reply.Report = a.reportFor(args.Home, args.Acked)
 	if args.Tenure.Kept {
-		reply.Report.Asked, reply.Report.Kept = true, a.kept()
+		reply.Report.Asked, reply.Report.Kept = true, a.inheritedRuns()
 	}
-	if reply.Target = a.version; args.Target == a.version && args.Life == a.life {
+	if reply.Target = a.targetVersion; args.Target == a.targetVersion && args.Life == a.life {
 		reply.Report.Target, reply.Report.Pace = work.Target{}, schedule.Pace{}
 	}
 	return nil
 }
 
-// newer reports whether there is an event with a higher number than known.
-func newer(events []schedule.Event, known uint64) bool {
+// hasNewer reports whether there is an event with a higher number than known.
+func hasNewer(events []schedule.Event, known uint64) bool {
 	return len(events) > 0 && events[len(events)-1].Seq > known
 }
 
-// own takes what a home tells about the ledger. The caller holds mu.
-func (a *Agent) own(args *SyncArgs) {
+// applyTenure applies a home's tenure, the ledger holder's term with its epoch, to the
+// guard. The caller holds mu.
+func (a *Agent) applyTenure(args *SyncArgs) {
 	t := &args.Tenure
 	before := a.guard.Epoch()
-	a.guard.Own(a.now(), args.Home, worker.Tenure{Epoch: t.Epoch, Vacant: t.Vacant, Owned: unstamp(t.Owned)})
+	a.guard.Own(a.now(), args.Home, worker.Tenure{Epoch: t.Epoch, Vacant: t.Vacant, Owned: fromStamp(t.Owned)})
 	if after := a.guard.Epoch(); after != before {
 		runs, _ := a.guard.Kept()
 		a.log.Info().Str("home", args.Home).Uint64("epoch", after).Uint64("before", before).Int("runs", len(runs)).
@@ -66,8 +67,9 @@
 	}
 }
 
-// kept returns the runs of stored jobs. The caller holds mu.
-func (a *Agent) kept() []schedule.Kept {
+// inheritedRuns returns the runs of stored jobs, which a new holder of the ledger
+// adopts. The caller holds mu.
+func (a *Agent) inheritedRuns() []schedule.Kept {
 	runs, since := a.guard.Kept()
 	kept := make([]schedule.Kept, len(runs))
 	for i, r := range runs {
@@ -76,23 +78,25 @@
 	return kept
 }
 
-// takeOrders takes the orders that are new. The caller holds mu.
+// takeOrders passes the orders that were not taken before to the guard. The caller
+// holds mu.
 func (a *Agent) takeOrders(args *SyncArgs) {
 	now := a.now()
 	for _, o := range args.Orders {
-		if o.Seq <= a.taken[args.Home] {
+		if o.Seq <= a.lastOrders[args.Home] {
 			continue
 		}
-		a.taken[args.Home] = o.Seq
+		a.lastOrders[args.Home] = o.Seq
 		for i := range o.Starts {
 			o.Starts[i].Spec = o.Specs[o.Starts[i].Run.Task.Job]
 		}
-		a.guard.Order(now, args.Home, unstamp(o.Echo), o.Starts, o.Stops)
+		a.guard.Order(now, args.Home, fromStamp(o.Echo), o.Starts, o.Stops)
 	}
-	a.perform()
+	a.executeOrders()
 }
 
-// reportFor returns what a home is told. The caller holds mu.
+// reportFor returns the report for a home, with the events after acked. The caller
+// holds mu.
 func (a *Agent) reportFor(home string, acked uint64) schedule.Report {
 	r := schedule.ReportOf(a.guard, home, acked)
 	r.Life, r.Ready = a.life, r.Ready && !a.leaving
--- a/site/entry_config.go
+++ b/site/entry_config.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	configWait       = 5 * time.Second // of one watch; a connection that went silent is found after it
-	configRetry      = 150 * time.Millisecond
-	configRetryLimit = time.Second // the longest pause while the store does not answer
+	configWatchTimeout     = 5 * time.Second // of one watch; a dead connection is detected after it
+	configRetryInterval    = 150 * time.Millisecond
+	maxConfigRetryInterval = time.Second // while the store does not answer
 )
 
-// readDuty reads the configuration now and then, since a watch of a store that
-// drops its history may miss a change. The home reads often; the others hear of
-// a new version when they greet it.
-func (e *Entry) readDuty() {
+// configReadDuty is the loop that reads the configuration at intervals, since a watch
+// may miss a change if the store drops its history. The home reads often; the others
+// learn of a new version from its greetings.
+func (e *Entry) configReadDuty() {
 	for {
-		pause := readOther
+		pause := otherReadInterval
 		if m, ok := e.currentHome(); !ok || m.Life == e.life {
-			pause = readHome
+			pause = homeReadInterval
 		}
 		select {
 		case <-e.stop:
@@ -39,51 +39,53 @@
 	}
 }
 
-// A configuration has to be in force 2 s after it was written.
+// The intervals of configReadDuty. A configuration must be in force 2 s after it was
+// written.
 const (
-	readHome  = 800 * time.Millisecond
-	readOther = 3 * time.Second
+	homeReadInterval  = 800 * time.Millisecond
+	otherReadInterval = 3 * time.Second
 )
 
-// configDuty keeps the operator's configuration up to date from the store.
-func (e *Entry) configDuty() {
+// configWatchDuty is the loop that watches the store for the operator's configuration
+// and applies changes.
+func (e *Entry) configWatchDuty() {
 	var rev uint64
-	pause, lost := configRetry, false
+	pause, isDown := configRetryInterval, false
 	for {
 		select {
 		case <-e.stop:
 			return
 		default:
 		}
-		next, err := e.followConfig(rev)
+		next, err := e.nextConfig(rev)
 		if err == nil {
-			rev, pause = next, configRetry
-			if lost {
-				lost = false
+			rev, pause = next, configRetryInterval
+			if isDown {
+				isDown = false
 				e.log.Info().Uint64("revision", rev).Msg("store answers")
 			}
 			continue
 		}
-		if !lost {
-			lost = true
+		if !isDown {
+			isDown = true
 			e.log.Warn().Err(err).Uint64("revision", rev).Msg("store does not answer")
 		}
 		if errors.Is(err, platform.ErrHistoryGone) {
 			rev = 0
 		}
 		time.Sleep(pause)
-		pause = min(2*pause, configRetryLimit)
+		pause = min(2*pause, maxConfigRetryInterval)
 	}
 }
 
-// followConfig reads the configuration if rev is 0, and else waits for a change
-// after rev. It returns the revision to continue from.
-func (e *Entry) followConfig(rev uint64) (next uint64, err error) {
+// nextConfig reads and applies the configuration if rev is 0, and otherwise waits for
+// a change after rev. It returns the revision to continue from.
+func (e *Entry) nextConfig(rev uint64) (next uint64, err error) {
 	ctx := context.Background()
 	if rev == 0 {
 		it, asOf, err := e.store.Get(ctx, platform.ConfigKey)
 		if errors.Is(err, store.ErrNotFound) {
-			time.Sleep(configRetry)
+			time.Sleep(configRetryInterval)
 			return 0, nil
 		}
 		if err != nil {
@@ -92,7 +94,7 @@
 		e.applyConfig(it.Value, "store")
 		return max(asOf, it.Revision), nil
 	}
-	items, next, err := e.store.Watch(ctx, platform.ConfigKey, rev, configWait)
+	items, next, err := e.store.Watch(ctx, platform.ConfigKey, rev, configWatchTimeout)
 	if err != nil {
 		return rev, err
 	}
--- a/site/entry_peers.go
+++ b/site/entry_peers.go
@@ -11,12 +11,12 @@
 	"masticbay/wire"
 )
 
-// entryMethods are what agents and other entries call.
+// entryMethods are the RPC methods that agents and other entries call.
 type entryMethods struct {
 	e *Entry
 }
 
-// Announce takes news of an agent.
+// Announce takes the announcement of an agent and returns the panel.
 func (m *entryMethods) Announce(args *AnnounceArgs, reply *AnnounceReply) error {
 	e := m.e
 	e.mu.Lock()
@@ -26,14 +26,14 @@
 	e.mu.Unlock()
 	if !known {
 		e.log.Info().Str("agent", args.Address).Str("service", args.Service).Msg("agent found")
-		e.home.wake()
+		e.home.notify()
 	}
 	return nil
 }
 
-// Greet exchanges what two entries tell about themselves.
+// Greet takes a greeting of another entry and returns this entry's own.
 func (m *entryMethods) Greet(args *GreetArgs, reply *GreetReply) error {
-	m.e.hear((*GreetReply)(args))
+	m.e.takeGreeting((*GreetReply)(args))
 	*reply = GreetReply(m.e.greeting(args.Member.Address))
 	if reply.Sum == args.Sum {
 		reply.Panel = nil
@@ -49,12 +49,12 @@
 	return nil
 }
 
-// greeting returns what the entry at an address is told.
+// greeting returns the greeting for the entry at an address.
 func (e *Entry) greeting(to string) GreetArgs {
 	e.mu.Lock()
 	now := e.now()
 	args := GreetArgs{Member: e.roster.Self(now), Session: e.sessions[to], Panel: e.roster.Panel(now)}
-	args.Sum = sumOf(args.Panel)
+	args.Sum = panelHash(args.Panel)
 	if c := e.config.Load(); c != nil {
 		args.Config = c.Version()
 	}
@@ -66,8 +66,8 @@
 	return args
 }
 
-// sumOf tells panels apart.
-func sumOf(panel []string) uint64 {
+// panelHash returns a hash by which panels are compared.
+func panelHash(panel []string) uint64 {
 	h := fnv.New64a()
 	for _, a := range panel {
 		_, _ = h.Write([]byte(a)) // never fails
@@ -75,68 +75,68 @@
 	return h.Sum64()
 }
 
-// hear takes what another entry told.
-func (e *Entry) hear(g *GreetReply) {
+// takeGreeting processes a greeting of another entry.
+func (e *Entry) takeGreeting(g *GreetReply) {
 	e.mu.Lock()
 	e.roster.Hear(e.now(), g.Member)
 	if home, ok := e.roster.Home(e.now()); ok && home.Life == g.Member.Life {
 		e.waiting = g.Waiting
 	}
 	e.mu.Unlock()
-	e.known.add(e.now(), g.Panel...)
-	e.home.heard(g.Member.Life, g.Session)
+	e.knownEntries.add(e.now(), g.Panel...)
+	e.home.recordContact(g.Member.Life, g.Session)
 	if c := e.config.Load(); g.Config > 0 && (c == nil || c.Version() < g.Config) {
 		go e.fetchConfig(g.Member.Address)
 	}
 }
 
-// greetDuty greets the home often, the panel now and then, and one of the other
-// entries that are known with each round of the panel, so that parts of a site that
-// do not know each other become one.
+// greetDuty is the loop that sends greetings: to the home often, to the panel at
+// longer intervals, and with each round of the panel to one other known entry, so that
+// parts of a site that do not know each other merge.
 func (e *Entry) greetDuty() {
-	last := make(map[string]time.Time)
-	var other time.Time
+	lastGreeted := make(map[string]time.Time)
+	var lastOther time.Time
 	for {
-		e.follow()
+		e.updateHome()
 		now := e.now()
-		due, rest, lost := e.greetNow(now, last)
-		if lost || now.Sub(other) >= greetOthers {
-			other = now
-			due = append(due, oldest(rest, last, lost)...)
+		due, rest, noHome := e.greetingsDue(now, lastGreeted)
+		if noHome || now.Sub(lastOther) >= panelGreetInterval {
+			lastOther = now
+			due = append(due, leastRecentlyGreeted(rest, lastGreeted, noHome)...)
 		}
 		for _, address := range due {
-			last[address] = now
+			lastGreeted[address] = now
 			go e.greet(address)
 		}
 		select {
 		case <-e.stop:
 			return
-		case <-time.After(greetPause(len(e.known.all()))):
+		case <-time.After(greetInterval(len(e.knownEntries.all()))):
 		}
 	}
 }
 
-// greetPause is the pause between greetings of the home: longer on large sites, so
-// that a home is greeted at most about 500 times a second.
-func greetPause(entries int) time.Duration {
-	return min(max(greetHome, time.Duration(entries)*greetPerEntry), greetHomeMost)
+// greetInterval returns the interval between greetings of the home. It is longer on
+// large sites, so that a home is greeted at most about 500 times a second.
+func greetInterval(entries int) time.Duration {
+	return min(max(homeGreetInterval, time.Duration(entries)*greetIntervalPerEntry), maxHomeGreetInterval)
 }
 
-// greetNow returns the entries to greet now, those that are known and need not be
-// greeted regularly, and whether no home is known.
-func (e *Entry) greetNow(now time.Time, last map[string]time.Time) (due, rest []string, lost bool) {
+// greetingsDue returns the entries to greet now, the known entries that need no
+// regular greetings, and whether no home is known.
+func (e *Entry) greetingsDue(now time.Time, lastGreeted map[string]time.Time) (due, rest []string, noHome bool) {
 	home, ok := e.currentHome()
 	e.mu.Lock()
 	panel := e.roster.Panel(now)
 	e.mu.Unlock()
-	// Others may see entries on the panel that are not known here yet.
-	panel = append(slices.Clone(panel), e.known.since(now.Add(-panelTold))...)
-	for _, address := range e.known.all() {
+	// The panel of other entries may include entries that this one does not know yet.
+	panel = append(slices.Clone(panel), e.knownEntries.namedSince(now.Add(-panelNamedFor))...)
+	for _, address := range e.knownEntries.all() {
 		onPanel := slices.Contains(panel, address)
-		often := e.hasJobsAt(address) || onPanel && !ok || address == home.Address && now.Sub(last[address]) >= greetIdle-greetHome/2
+		often := e.hasJobsAt(address) || onPanel && !ok || address == home.Address && now.Sub(lastGreeted[address]) >= idleHomeGreetInterval-homeGreetInterval/2
 		switch {
 		case address == e.node.Internal:
-		case often, onPanel && now.Sub(last[address]) >= greetOthers:
+		case often, onPanel && now.Sub(lastGreeted[address]) >= panelGreetInterval:
 			due = append(due, address)
 		case !onPanel:
 			rest = append(rest, address)
@@ -145,26 +145,26 @@
 	return due, rest, !ok
 }
 
-// oldest returns the address that was greeted longest ago, or as many as there are
-// on a panel while no home is known.
-func oldest(addresses []string, last map[string]time.Time, lost bool) []string {
-	slices.SortStableFunc(addresses, func(a, b string) int { return last[a].Compare(last[b]) })
-	if lost {
+// leastRecentlyGreeted returns the address that was greeted longest ago, or panelSize
+// of them while no home is known.
+func leastRecentlyGreeted(addresses []string, lastGreeted map[string]time.Time, noHome bool) []string {
+	slices.SortStableFunc(addresses, func(a, b string) int { return lastGreeted[a].Compare(lastGreeted[b]) })
+	if noHome {
 		return addresses[:min(panelSize, len(addresses))]
 	}
 	return addresses[:min(1, len(addresses))]
 }
 
-// hasJobsAt reports whether a home has jobs from here.
+// hasJobsAt reports whether this entry has jobs at a home.
 func (e *Entry) hasJobsAt(address string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.jobs[address] > 0
+	return e.jobsAt[address] > 0
 }
 
 // greetAll greets all entries at once.
 func (e *Entry) greetAll() {
-	for _, address := range e.known.all() {
+	for _, address := range e.knownEntries.all() {
 		if address != e.node.Internal {
 			go e.greet(address)
 		}
@@ -178,17 +178,17 @@
 	args.Panel = nil
 	rep, err := wire.Call[GreetArgs, GreetReply](ctx, e.peer(address), entryGreet, &args)
 	if err != nil {
-		e.renew(address)
-		return // silence is judged by the roster
+		e.resetIfUnanswered(address)
+		return // the roster detects entries that are out of contact
 	}
-	e.answered(address)
-	e.hear(rep)
+	e.greetingAnswered(address)
+	e.takeGreeting(rep)
 }
 
-// peer is the way to another entry.
+// peer is the connection to another entry.
 type peer struct {
-	client   *wire.Client
-	answered time.Time // when it last answered a greeting, or the connection was renewed
+	client       *wire.Client
+	lastAnswered time.Time // when it last answered a greeting, or the connection was opened or reset
 }
 
 // peer returns the client of another entry.
@@ -197,26 +197,25 @@
 	defer e.mu.Unlock()
 	p, ok := e.peers[address]
 	if !ok {
-		p = &peer{client: wire.NewClient(address, rpcOptions(e.network)), answered: e.now()}
+		p = &peer{client: wire.NewClient(address, rpcOptions(e.network)), lastAnswered: e.now()}
 		e.peers[address] = p
 	}
 	return p.client
 }
 
-func (e *Entry) answered(address string) {
+func (e *Entry) greetingAnswered(address string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.peers[address].answered = e.now()
+	e.peers[address].lastAnswered = e.now()
 }
 
-// renew gives up a connection on which greetings have not been answered for as
-// long as makes a home count as lost. A connection may be silent for good while
-// new ones work.
-func (e *Entry) renew(address string) {
+// resetIfUnanswered closes a connection on which no greeting was answered for
+// homeContactTimeout. A connection may be dead while new ones work.
+func (e *Entry) resetIfUnanswered(address string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if p, now := e.peers[address], e.now(); now.Sub(p.answered) > homeSilence {
-		p.answered = now
+	if p, now := e.peers[address], e.now(); now.Sub(p.lastAnswered) > homeContactTimeout {
+		p.lastAnswered = now
 		p.client.Reset()
 	}
 }
@@ -228,12 +227,13 @@
 	return e.roster.Home(e.now())
 }
 
-// follow notes changes of the home, and forgets agents that are silent.
-func (e *Entry) follow() {
+// updateHome detects failover to another home, and removes agents that are out of
+// contact.
+func (e *Entry) updateHome() {
 	e.mu.Lock()
 	now := e.now()
-	for a, heard := range e.agents {
-		if now.Sub(heard) > agentKnown {
+	for a, lastAnnounced := range e.agents {
+		if now.Sub(lastAnnounced) > agentContactTimeout {
 			delete(e.agents, a)
 			e.log.Info().Str("agent", a).Msg("agent silent")
 		}
@@ -241,27 +241,27 @@
 	e.roster.SetAgents(len(e.agents))
 	home, ok := e.roster.Home(now)
 	changed := home.Life != e.lastHome
-	before := e.lastHome
+	previous := e.lastHome
 	e.lastHome = home.Life
 	e.mu.Unlock()
 	if changed {
-		e.metrics.changes.Inc(1)
-		e.log.Info().Str("home", home.Name).Str("life", home.Life).Str("before", before).Uint64("term", home.Term).Bool("any", ok).Msg("home changed")
-		e.home.wake()
+		e.metrics.homeChanges.Inc(1)
+		e.log.Info().Str("home", home.Name).Str("life", home.Life).Str("before", previous).Uint64("term", home.Term).Bool("any", ok).Msg("home changed")
+		e.home.notify()
 		if home.Life == e.life {
 			e.greetAll()
 		}
 	}
 }
 
-// inTouch returns the other entries in contact.
-func (e *Entry) inTouch() []roster.Member {
+// entriesInContact returns the other entries in contact.
+func (e *Entry) entriesInContact() []roster.Member {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(e.roster.InContact(e.now())), func(m roster.Member) bool { return m.Life == e.life })
 }
 
-// waitingJobs returns how many jobs of a queue have not begun.
+// waitingJobs returns how many jobs of a queue have not started.
 func (e *Entry) waitingJobs(queue string) int {
 	if e.IsHome() {
 		return e.home.waiting(queue)
@@ -282,15 +282,15 @@
 	return agents
 }
 
-// registerDuty writes this entry's address to the store once, so that
-// processes find it that know no entry in contact.
+// registerDuty writes this entry's address to the store once, for processes that are
+// not in contact with any entry.
 func (e *Entry) registerDuty() {
 	for {
 		ctx, cancel := context.WithTimeout(context.Background(), registerTimeout)
 		items, err := e.store.List(ctx, entriesPrefix)
 		if err == nil {
 			for _, it := range items {
-				e.known.add(time.Time{}, string(it.Value))
+				e.knownEntries.add(time.Time{}, string(it.Value))
 			}
 			err = e.store.Put(ctx, entriesPrefix+e.node.Name, []byte(e.node.Internal))
 		}
@@ -298,32 +298,32 @@
 		if err == nil {
 			return
 		}
-		e.log.Warn().Err(err).Msg("entry not registered in the store; tries again")
+		e.log.Warn().Err(err).Msg("entry not registered in the store; will retry")
 		select {
 		case <-e.stop:
 			return
-		case <-time.After(registerPause):
+		case <-time.After(registerRetryInterval):
 		}
 	}
 }
 
 const (
-	registerTimeout = 3 * time.Second
-	registerPause   = 1500 * time.Millisecond
+	registerTimeout       = 3 * time.Second
+	registerRetryInterval = 1500 * time.Millisecond
 )
 
-// fetchConfig takes the configuration of another entry.
+// fetchConfig fetches the configuration of another entry and applies it.
 func (e *Entry) fetchConfig(address string) {
 	e.mu.Lock()
-	busy := e.pull[address]
-	e.pull[address] = true
+	isFetching := e.fetching[address]
+	e.fetching[address] = true
 	e.mu.Unlock()
-	if busy {
+	if isFetching {
 		return
 	}
 	defer func() {
 		e.mu.Lock()
-		delete(e.pull, address)
+		delete(e.fetching, address)
 		e.mu.Unlock()
 	}()
 	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
@@ -340,11 +340,11 @@
 
 const fetchTimeout = time.Second
 
-// applyConfig puts a configuration in force unless a newer one is.
+// applyConfig puts a configuration in force unless the current one is as new.
 func (e *Entry) applyConfig(raw []byte, from string) {
 	c, err := platform.DecodeConfig(raw)
 	if err != nil {
-		e.log.Error().Err(err).Str("from", from).Msg("configuration not understood")
+		e.log.Error().Err(err).Str("from", from).Msg("cannot decode the configuration")
 		return
 	}
 	for {
@@ -359,7 +359,7 @@
 	e.log.Info().Uint64("version", c.Version()).Str("from", from).Msg("configuration in force")
 }
 
-// IsHome reports whether this entry acts as home.
+// IsHome reports whether this entry is home.
 func (e *Entry) IsHome() bool {
 	m, ok := e.currentHome()
 	return ok && m.Life == e.life
--- a/site/entry_run.go
+++ b/site/entry_run.go
@@ -12,18 +12,18 @@
 	"masticbay/work"
 )
 
-// run has a job run at the home and returns its outcome. When a home is lost it
-// hands the job to the next one, once no run of the lost one can be left.
-func (e *Entry) run(ctx context.Context, j work.Job, begun time.Time) work.Outcome {
+// run hands a job to the home and returns its outcome. If the home is lost, run hands
+// the job to the next one, once no run under the lost home can be left.
+func (e *Entry) run(ctx context.Context, j work.Job, receivedAt time.Time) work.Outcome {
 	firstRun := 0
 	sent := false
 	for {
 		home, ok := e.awaitHome(ctx)
 		if !ok {
-			return noHome(sent)
+			return noHomeOutcome(sent)
 		}
 		now := e.now()
-		j.Age = now.Sub(begun)
+		j.Age = now.Sub(receivedAt)
 		args := RunArgs{Entry: e.life, Job: j, FirstRun: firstRun}
 		args.Job.Left = j.Left - j.Age
 		out, moved, err := e.runAt(ctx, home, &args)
@@ -31,27 +31,27 @@
 		case err == nil && !moved:
 			return truthful(out, sent)
 		case moved:
-			sleep(ctx, homePoll)
+			sleep(ctx, homePollInterval)
 			continue
 		case ctx.Err() != nil:
-			return work.Outcome{State: work.Unknown, Reason: givenUp(ctx)}
+			return work.Outcome{State: work.Unknown, Reason: waitEndReason(ctx)}
 		case errors.Is(err, wire.ErrNotSent):
-			e.requests.Info().Err(err).Str("job", j.ID).Str("home", home.Name).Msg("home not reached; job not handed over")
-			e.loseHome(home)
-			sleep(ctx, homePoll)
+			e.requestLog.Info().Err(err).Str("job", j.ID).Str("home", home.Name).Msg("home not reached; job not handed over")
+			e.homeLost(home)
+			sleep(ctx, homePollInterval)
 			continue
 		}
 		sent = true
-		e.metrics.lostHome.Inc(1)
-		e.requests.Warn().Err(err).Str("job", j.ID).Str("home", home.Name).Msg("home lost with a job; waits for its runs to end")
-		e.loseHome(home)
-		firstRun += runStride
-		sleep(ctx, failover)
+		e.metrics.jobsHomeLost.Inc(1)
+		e.requestLog.Warn().Err(err).Str("job", j.ID).Str("home", home.Name).Msg("home lost with a job; waits for its runs to end")
+		e.homeLost(home)
+		firstRun += runNumberStride
+		sleep(ctx, failoverDelay)
 	}
 }
 
-// truthful turns a rejection by one home into an unknown outcome if the job had
-// been handed to another home before, which may have run some of it.
+// truthful replaces a rejection by an unknown outcome if the job was handed to another
+// home before, since that home may have run some of its tasks.
 func truthful(out work.Outcome, sent bool) work.Outcome {
 	if sent && out.State == work.Rejected {
 		return work.Outcome{State: work.Unknown, Reason: "lost with its first home; then " + out.Reason}
@@ -59,13 +59,13 @@
 	return out
 }
 
-// homePoll is how often an entry looks for a home when there is none.
-const homePoll = 20 * time.Millisecond
+// homePollInterval is how often an entry checks for a home while there is none.
+const homePollInterval = 20 * time.Millisecond
 
 // homeWait is how long a new job waits for a home before it is rejected.
 const homeWait = 400 * time.Millisecond
 
-// awaitHome waits for a home for a while.
+// awaitHome waits for a home until homeWait is over or ctx ends.
 func (e *Entry) awaitHome(ctx context.Context) (m roster.Member, ok bool) {
 	until := e.now().Add(homeWait)
 	for {
@@ -75,28 +75,28 @@
 		if ctx.Err() != nil || e.now().After(until) {
 			return m, false
 		}
-		sleep(ctx, homePoll)
+		sleep(ctx, homePollInterval)
 	}
 }
 
-// noHome is the outcome of a job when there is no home.
-func noHome(sent bool) work.Outcome {
+// noHomeOutcome returns the outcome of a job when there is no home.
+func noHomeOutcome(sent bool) work.Outcome {
 	if sent {
 		return work.Outcome{State: work.Unknown, Reason: "no entry acts as home"}
 	}
 	return work.Outcome{State: work.Rejected, Reason: "no entry acts as home", RetryAfter: time.Second}
 }
 
-// givenUp tells why the wait for a job is over.
-func givenUp(ctx context.Context) string {
+// waitEndReason returns the reason why the wait for a job has ended.
+func waitEndReason(ctx context.Context) string {
 	if cause := context.Cause(ctx); cause != context.Canceled {
 		return cause.Error()
 	}
 	return "the caller has gone"
 }
 
-// loseHome makes the roster look for another home at once.
-func (e *Entry) loseHome(m roster.Member) {
+// homeLost makes the roster select another home at once.
+func (e *Entry) homeLost(m roster.Member) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.roster.Lose(m.Address)
@@ -111,13 +111,13 @@
 		out, moved = e.home.run(ctx, args)
 		return out, moved, nil
 	}
-	args.Session = e.enter(m.Address)
-	defer e.exit(m.Address)
-	watch, cancel := context.WithCancel(ctx)
+	args.Session = e.addJobAt(m.Address)
+	defer e.removeJobAt(m.Address)
+	watched, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go e.watchHome(watch, cancel, m, args.Session)
+	go e.watchHome(watched, cancel, m, args.Session)
 	c := e.peer(m.Address)
-	rep, err := wire.Call[RunArgs, RunReply](watch, c, entryRun, args)
+	rep, err := wire.Call[RunArgs, RunReply](watched, c, entryRun, args)
 	switch {
 	case err == nil:
 		return rep.Outcome, rep.Moved, nil
@@ -129,23 +129,22 @@
 	return out, false, err
 }
 
-// enter notes that a home gets a job, and returns the session that it is part
-// of.
-func (e *Entry) enter(address string) uint64 {
+// addJobAt counts a job that is handed to a home, and returns its session there.
+func (e *Entry) addJobAt(address string) uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.jobs[address]++
+	e.jobsAt[address]++
 	return e.sessions[address]
 }
 
-func (e *Entry) exit(address string) {
+func (e *Entry) removeJobAt(address string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.jobs[address]--
+	e.jobsAt[address]--
 }
 
-// endSession gives up all jobs that a home has from here, and tells it so with
-// the next greeting if it can be reached.
+// endSession gives up all jobs of this entry at a home. The home learns of it from
+// the number of the new session in the next greeting.
 func (e *Entry) endSession(address string, session uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -154,10 +153,10 @@
 	}
 }
 
-// watchHome ends the wait for a home that is out of contact, or at which the
-// session has ended.
+// watchHome cancels a call to a home when the home is out of contact or the session
+// there has ended.
 func (e *Entry) watchHome(ctx context.Context, cancel context.CancelFunc, m roster.Member, session uint64) {
-	tick := time.NewTicker(greetHome)
+	tick := time.NewTicker(homeGreetInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -186,12 +185,12 @@
 	return false
 }
 
-// withdrawAt tells a home that nobody waits for a job any more.
+// withdrawAt withdraws a job from a home, since no caller waits for it.
 func (e *Entry) withdrawAt(c *wire.Client, args *WithdrawArgs) {
 	ctx, cancel := context.WithTimeout(context.Background(), greetTimeout)
 	defer cancel()
 	if _, err := wire.Call[WithdrawArgs, WithdrawReply](ctx, c, entryWithdraw, args); err != nil {
-		e.requests.Info().Err(err).Str("job", args.Job).Msg("job not withdrawn")
+		e.requestLog.Info().Err(err).Str("job", args.Job).Msg("job not withdrawn")
 	}
 }
 
@@ -201,8 +200,8 @@
 	return nil
 }
 
-// Withdraw takes a job back.
+// Withdraw withdraws a job for another entry.
 func (m *entryMethods) Withdraw(args *WithdrawArgs, _ *WithdrawReply) error {
-	m.e.home.withdraw(caller{args.Entry, args.Session}, args.Job)
+	m.e.home.withdraw(entrySession{args.Entry, args.Session}, args.Job)
 	return nil
 }
--- a/site/entry_run_test.go
+++ b/site/entry_run_test.go
@@ -6,9 +6,9 @@
 	"masticbay/work"
 )
 
-// TestRejectionIsTrue: a job that one home may have run is not said to have been
-// rejected because the next one rejects it.
-func TestRejectionIsTrue(t *testing.T) {
+// TestRejectionAfterLostHomeIsUnknown guards against a false rejection: a job that a
+// lost home may have run is not reported as rejected when the next home rejects it.
+func TestRejectionAfterLostHomeIsUnknown(t *testing.T) {
 	for _, tc := range []struct {
 		sent bool
 		out  work.State
@@ -19,7 +19,7 @@
 		{sent: true, out: work.Completed, want: work.Completed},
 	} {
 		if got := truthful(work.Outcome{State: tc.out}, tc.sent); got.State != tc.want {
-			t.Errorf("sent %t, %s: told as %s, want %s", tc.sent, tc.out, got.State, tc.want)
+			t.Errorf("sent %t, %s: reported as %s, want %s", tc.sent, tc.out, got.State, tc.want)
 		}
 	}
 }
--- a/site/entry_web.go
+++ b/site/entry_web.go
@@ -14,7 +14,7 @@
 	"masticbay/work"
 )
 
-// serveReady answers the balancer.
+// serveReady answers the probes of the load balancer.
 func (e *Entry) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if e.leaving.Load() || e.config.Load() == nil {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -23,24 +23,24 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// serveCaller answers callers.
+// serveCaller routes the requests of callers.
 func (e *Entry) serveCaller(w http.ResponseWriter, r *http.Request) {
-	e.open.Add(1)
-	defer e.open.Add(-1)
+	e.openRequests.Add(1)
+	defer e.openRequests.Add(-1)
 	cfg := e.config.Load()
 	if cfg == nil {
-		e.requests.Warn().Str("path", r.URL.Path).Msg("refused: no configuration yet")
-		e.check(platform.WriteRefusal(w, http.StatusServiceUnavailable, time.Second))
+		e.requestLog.Warn().Str("path", r.URL.Path).Msg("refused: no configuration yet")
+		e.logWriteError(platform.WriteRefusal(w, http.StatusServiceUnavailable, time.Second))
 		return
 	}
 	q, prefix, ok := cfg.Queue(r.Host, r.URL.Path)
 	if !ok {
-		e.requests.Info().Str("path", r.URL.Path).Uint64("config", cfg.Version()).Msg("refused: no such queue")
+		e.requestLog.Info().Str("path", r.URL.Path).Uint64("config", cfg.Version()).Msg("refused: no such queue")
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
 	if r.URL.Path == prefix && r.Method == http.MethodGet {
-		e.check(platform.WriteWaiting(w, e.waitingJobs(q.Name)))
+		e.logWriteError(platform.WriteWaiting(w, e.waitingJobs(q.Name)))
 		return
 	}
 	id, ok := platform.JobID(r.URL.Path, prefix)
@@ -60,79 +60,80 @@
 	}
 }
 
-// check logs that a response could not be written.
-func (e *Entry) check(err error) {
+// logWriteError logs that a response could not be written.
+func (e *Entry) logWriteError(err error) {
 	if err != nil {
 		e.log.Debug().Err(err).Msg("response not written")
 	}
 }
 
-// errTimeOver is why a job is given up whose caller waits no longer.
-const errTimeOver = errors.ConstError("the caller's time is over")
+// errCallerTimeout is the cause when a job is withdrawn because its caller's time is
+// over.
+const errCallerTimeout = errors.ConstError("the caller's time is over")
 
-// callerWaits is how long a caller waits that does not say.
-const callerWaits = 10 * time.Second
+// defaultCallerWait is how long a caller waits if its request does not say.
+const defaultCallerWait = 10 * time.Second
 
-// bodyLimit bounds bodies when the configuration does not.
-const bodyLimit = 1 << 20 // bytes
+// defaultBodyLimit bounds request bodies if the configuration does not.
+const defaultBodyLimit = 1 << 20 // bytes
 
 func (e *Entry) servePost(w http.ResponseWriter, r *http.Request, cfg *platform.Config, q work.Queue, id string) {
-	begun := e.now()
+	receivedAt := e.now()
 	limit := cfg.Limits().BodyBytes
 	if limit <= 0 {
-		limit = bodyLimit
+		limit = defaultBodyLimit
 	}
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	if err != nil {
-		e.requests.Info().Err(err).Str("job", id).Msg("request not read")
+		e.requestLog.Info().Err(err).Str("job", id).Msg("request not read")
 		w.WriteHeader(http.StatusRequestEntityTooLarge)
 		return
 	}
 	s, err := platform.DecodeJob(id, q, raw)
 	if err != nil {
-		e.requests.Info().Err(err).Str("job", id).Msg("request not understood")
+		e.requestLog.Info().Err(err).Str("job", id).Msg("cannot decode the request")
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	if s.Filling || !s.Job.Stored && (s.Job.Lasts || s.Job.Times > 0) {
-		e.requests.Warn().Str("job", id).Bool("fills", s.Filling).Bool("lasts", s.Job.Lasts).Int("times", s.Job.Times).Msg("job rejected: its kind is not supported")
-		e.check(platform.WriteRefusal(w, http.StatusServiceUnavailable, time.Minute))
+		e.requestLog.Warn().Str("job", id).Bool("fills", s.Filling).Bool("lasts", s.Job.Lasts).Int("times", s.Job.Times).Msg("job rejected: its kind is not supported")
+		e.logWriteError(platform.WriteRefusal(w, http.StatusServiceUnavailable, time.Minute))
 		return
 	}
-	s.Job.Left = platform.CallerWaits(r, callerWaits)
-	ctx, release := e.waitFor(r.Context(), s.Job.Left)
+	s.Job.Left = platform.CallerWaits(r, defaultCallerWait)
+	ctx, release := e.callerContext(r.Context(), s.Job.Left)
 	defer release()
 	ctx, span := telemetry.Span(ctx, "submit")
 	defer span.End()
 	span.SetAttributes(attribute.String("job", id))
-	out := e.serve(ctx, s.Job, begun)
-	took := e.now().Sub(begun)
-	e.metrics.answered(out.State, took)
-	e.requests.Info().Str("job", id).Str("queue", q.Name).Uint64("config", cfg.Version()).Str("state", string(out.State)).
+	out := e.submit(ctx, s.Job, receivedAt)
+	took := e.now().Sub(receivedAt)
+	e.metrics.countAnswer(out.State, took)
+	e.requestLog.Info().Str("job", id).Str("queue", q.Name).Uint64("config", cfg.Version()).Str("state", string(out.State)).
 		Str("why", out.Reason).Dur("tookMs", took).Int("tasks", s.Job.Tasks()).Dur("leftMs", s.Job.Left-took).Msg("answered")
 	if r.Context().Err() != nil {
 		return // the caller has gone
 	}
-	e.check(platform.WriteOutcome(w, out))
+	e.logWriteError(platform.WriteOutcome(w, out))
 }
 
-// serve has a job stored, or has it run and waits for its end.
-func (e *Entry) serve(ctx context.Context, j work.Job, begun time.Time) work.Outcome {
+// submit stores a job, or runs it and waits for its end.
+func (e *Entry) submit(ctx context.Context, j work.Job, receivedAt time.Time) work.Outcome {
 	if j.Stored {
-		return e.submitStored(ctx, j, begun)
+		return e.submitStored(ctx, j, receivedAt)
 	}
-	return e.run(ctx, j, begun)
+	return e.run(ctx, j, receivedAt)
 }
 
-// waitFor returns a context that ends when the caller has gone or waits no
-// longer, or when this entry has to answer at once.
-func (e *Entry) waitFor(ctx context.Context, left time.Duration) (_ context.Context, release func()) {
-	ctx, cancel := context.WithTimeoutCause(ctx, left, errTimeOver)
-	ctx, end := context.WithCancelCause(ctx)
-	forget := context.AfterFunc(e.ending, func() { end(context.Cause(e.ending)) })
+// callerContext returns a context that ends when the caller is gone, after limit, or
+// when this entry must answer at once.
+func (e *Entry) callerContext(ctx context.Context, limit time.Duration) (_ context.Context, release func()) {
+	ctx, cancel := context.WithTimeoutCause(ctx, limit, errCallerTimeout)
+	ctx, cancelCause := context.WithCancelCause(ctx)
+	stopAnswerAll := context.AfterFunc(e.ending, func() { cancelCause(context.Cause(e.ending)) })
 	return ctx, func() {
-		forget()
-		end(nil)
+		stopAnswerAll()
+		cancelCause(nil)
 		cancel()
 	}
 }
--- a/site/home.go
+++ b/site/home.go
@@ -13,106 +13,109 @@
 	"masticbay/work"
 )
 
-// home is the part of an entry that places tasks while the entry is home, and
-// afterwards until its last run has ended.
+// home is the part of an entry that places tasks while the entry is home (the
+// coordinator that places the tasks of a site), and afterwards until its last run
+// has ended.
 type home struct {
-	e   *Entry
-	log zerolog.Logger // lines of single jobs and runs; bounded
-	due chan struct{}
+	e      *Entry
+	log    zerolog.Logger // lines about single jobs and runs; rate-limited
+	wakeup chan struct{}
 
-	mu      sync.Mutex // guards what follows
-	closed  bool
-	linked  time.Time // when keepLinks ran last
-	acted   bool      // this entry was home then
-	core    *schedule.Core
-	waiters map[string][]*waiter // by job
-	links   map[string]*link     // by agent
-	entries map[string]contact   // by incarnation
-	// lastOrder is the number of the last order to any agent. It rises over the
-	// life of the process, longer than links live: agents take no number twice.
+	mu             sync.Mutex // guards what follows
+	closed         bool
+	lastLinkUpdate time.Time // when updateLinks last ran
+	wasHome        bool      // this entry was home at lastLinkUpdate
+	core           *schedule.Core
+	waiters        map[string][]*waiter    // by job
+	links          map[string]*link        // by agent
+	entries        map[string]entryContact // by incarnation
+	// lastOrder is the number of the last order to any agent. It never restarts while
+	// the process runs, although links are replaced: agents take no number twice.
 	lastOrder uint64
 	storedJobs
 }
 
-// storedJobs is the part of a home for stored jobs. It is guarded by home.mu but
-// for ledgerDue and way.
+// storedJobs is the state of a home about stored jobs. It is guarded by home.mu
+// except for ledgerWakeup and route.
 type storedJobs struct {
-	ledgerDue chan struct{}
-	way       *storeWay
-	ledger    *ledger.Ledger
-	found     uint64                        // term as home in which the holder was read
-	wanted    bool                          // a job is to be stored
-	deposed   time.Time                     // when another entry took the ledger
-	stalled   bool                          // the store was logged as silent
-	tried     time.Time                     // when the store was called last
-	retry     time.Time                     // no call of the store before
-	former    []string                      // agents that may run tasks of a former holder
-	clear     time.Time                     // when none of these can run any more
-	accepts   map[string][]chan AcceptReply // by job: who waits for it to be stored
-	ends      map[string][]chan struct{}    // by job: who waits for its end to be stored
+	ledgerWakeup   chan struct{}
+	route          *storeRoute
+	ledger         *ledger.Ledger
+	holderTerm     uint64                        // this entry's term as home in which the holder was read
+	storeRequested bool                          // a caller has asked for a job to be stored
+	deposedAt      time.Time                     // when another entry took the ledger from this one
+	outageLogged   bool                          // the store was logged as not answering
+	lastStoreCall  time.Time                     // when the store was last called
+	storeRetryAt   time.Time                     // the store is not called before this
+	previousAgents []string                      // agents that may run tasks of the previous holder
+	clear          time.Time                     // when none of these tasks can run any more
+	acceptWaiters  map[string][]chan AcceptReply // by job: callers that wait for it to be stored
+	endWaiters     map[string][]chan struct{}    // by job: callers that wait for its end to be stored
 }
 
-// contact is what a home knows of an entry that gives it jobs.
-type contact struct {
-	session uint64
-	heard   time.Time
+// entryContact is the newest session of an entry that submits jobs to this home,
+// and when the entry was last in contact.
+type entryContact struct {
+	session     uint64
+	lastContact time.Time
 }
 
-// caller is an entry's session.
-type caller struct {
+// entrySession identifies a session of an entry at this home; see RunArgs.
+type entrySession struct {
 	life    string
 	session uint64
 }
 
-// waiter is an entry that waits for a job.
+// waiter is an entry that waits for the outcome of a job.
 type waiter struct {
-	entry caller
-	done  chan work.Outcome // with room for one
+	entry entrySession
+	done  chan work.Outcome // has space for one
 }
 
 func newHome(e *Entry) *home {
 	return &home{
-		e: e, log: e.requests, due: make(chan struct{}, 1), core: schedule.NewCore(HomeConfig(e.node)),
-		waiters: make(map[string][]*waiter), links: make(map[string]*link), entries: make(map[string]contact),
+		e: e, log: e.requestLog, wakeup: make(chan struct{}, 1), core: schedule.NewCore(HomeConfig(e.node)),
+		waiters: make(map[string][]*waiter), links: make(map[string]*link), entries: make(map[string]entryContact),
 		storedJobs: storedJobs{
-			ledgerDue: make(chan struct{}, 1), way: newStoreWay(e), ledger: ledger.New(ledgerConfig(e.node), e.life),
-			accepts: make(map[string][]chan AcceptReply), ends: make(map[string][]chan struct{}),
+			ledgerWakeup: make(chan struct{}, 1), route: newStoreRoute(e), ledger: ledger.New(ledgerConfig(e.node), e.life),
+			acceptWaiters: make(map[string][]chan AcceptReply), endWaiters: make(map[string][]chan struct{}),
 		},
 	}
 }
 
-// wake lets the duty look at once.
-func (h *home) wake() {
+// notify makes duty run at once.
+func (h *home) notify() {
 	select {
-	case h.due <- struct{}{}:
+	case h.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// heard notes a sign of life of another entry. A new session ends the earlier
-// ones.
-func (h *home) heard(life string, session uint64) {
+// recordContact records a message of another entry. A new session ends the entry's
+// earlier ones.
+func (h *home) recordContact(life string, session uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.hear(caller{life, session})
-	h.flush()
+	h.recordContactLocked(entrySession{life, session})
+	h.deliverDecisions()
 }
 
-// hear is heard with mu held and without flush. It reports whether the session
-// is the newest of the entry.
-func (h *home) hear(c caller) bool {
-	have := h.entries[c.life]
-	if c.session < have.session {
+// recordContactLocked is recordContact with mu held and without delivering
+// decisions. It reports whether the session is the newest of the entry.
+func (h *home) recordContactLocked(c entrySession) bool {
+	previous := h.entries[c.life]
+	if c.session < previous.session {
 		return false
 	}
-	h.entries[c.life] = contact{c.session, h.e.now()}
-	if c.session > have.session {
-		h.dropCallers("its entry gave it up", func(o caller) bool { return o.life == c.life && o.session < c.session })
+	h.entries[c.life] = entryContact{c.session, h.e.now()}
+	if c.session > previous.session {
+		h.withdrawSessions("its entry gave it up", func(o entrySession) bool { return o.life == c.life && o.session < c.session })
 	}
 	return true
 }
 
-// busy reports whether jobs of callers are under way here.
+// busy reports whether this home still runs tasks, has waiters, or has changes to
+// commit to the ledger.
 func (h *home) busy() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -126,56 +129,57 @@
 	return h.core.Waiting()[queue]
 }
 
-// waitingByQueue returns how many jobs have not begun.
+// waitingByQueue returns by queue how many jobs have not started.
 func (h *home) waitingByQueue() map[string]int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.core.Waiting()
 }
 
-// run runs a job and waits for its outcome. It returns moved and does nothing
-// if this entry is not home.
+// run runs a job and waits for its outcome. If this entry is not home, run does
+// nothing and returns moved.
 func (h *home) run(ctx context.Context, args *RunArgs) (out work.Outcome, moved bool) {
 	if m, ok := h.e.currentHome(); !ok || m.Life != h.e.life {
 		return out, true
 	}
-	w := &waiter{entry: caller{args.Entry, args.Session}, done: make(chan work.Outcome, 1)}
+	w := &waiter{entry: entrySession{args.Entry, args.Session}, done: make(chan work.Outcome, 1)}
 	h.mu.Lock()
-	if !h.hear(w.entry) {
+	if !h.recordContactLocked(w.entry) {
 		h.mu.Unlock()
 		return out, true
 	}
 	h.waiters[args.Job.ID] = append(h.waiters[args.Job.ID], w)
 	h.core.Submit(h.e.now(), args.Job, args.FirstRun)
-	h.flush()
+	h.deliverDecisions()
 	h.mu.Unlock()
 	select {
 	case out = <-w.done:
 		return out, false
 	case <-ctx.Done():
-		h.leave(args.Job.ID, func(o *waiter) bool { return o == w })
-		return work.Outcome{State: work.Unknown, Reason: givenUp(ctx)}, false
+		h.removeWaiters(args.Job.ID, func(o *waiter) bool { return o == w })
+		return work.Outcome{State: work.Unknown, Reason: waitEndReason(ctx)}, false
 	}
 }
 
-// withdraw takes a job back for an entry.
-func (h *home) withdraw(entry caller, id string) {
-	h.leave(id, func(o *waiter) bool { return o.entry == entry })
+// withdraw withdraws a job for an entry whose caller no longer waits for it.
+func (h *home) withdraw(entry entrySession, id string) {
+	h.removeWaiters(id, func(o *waiter) bool { return o.entry == entry })
 }
 
-// leave drops waiters of a job, and withdraws the job after the last one.
-func (h *home) leave(id string, which func(*waiter) bool) {
+// removeWaiters removes waiters of a job, and withdraws the job after the last one.
+func (h *home) removeWaiters(id string, match func(*waiter) bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.drop(id, which)
-	h.flush()
+	h.removeWaitersLocked(id, match)
+	h.deliverDecisions()
 }
 
-// drop is leave with mu held and without flush.
-func (h *home) drop(id string, which func(*waiter) bool) {
+// removeWaitersLocked is removeWaiters with mu held and without delivering
+// decisions.
+func (h *home) removeWaitersLocked(id string, match func(*waiter) bool) {
 	var rest []*waiter
 	for _, w := range h.waiters[id] {
-		if which(w) {
+		if match(w) {
 			w.done <- work.Outcome{State: work.Unknown, Reason: "withdrawn"}
 		} else {
 			rest = append(rest, w)
@@ -191,61 +195,61 @@
 	}
 }
 
-// The pauses of the duty.
+// The intervals between runs of home.duty.
 const (
-	homeTick = 10 * time.Millisecond // while there is work
-	homeIdle = 200 * time.Millisecond
+	busyTickInterval = 10 * time.Millisecond // while there is work
+	idleTickInterval = 200 * time.Millisecond
 )
 
-// duty drives the core by time and keeps a link to each agent.
+// duty is the loop that advances the core's time and keeps a link to each agent.
 func (h *home) duty() {
 	for {
-		pause := homeIdle
-		if h.step() {
-			pause = homeTick
+		pause := idleTickInterval
+		if h.runOnce() {
+			pause = busyTickInterval
 		}
 		select {
 		case <-h.e.stop:
 			return
-		case <-h.due:
+		case <-h.wakeup:
 		case <-time.After(pause):
 		}
 	}
 }
 
-// step does what is due and reports whether there is work.
-func (h *home) step() bool {
+// runOnce does one round of duty and reports whether tasks wait or run.
+func (h *home) runOnce() bool {
 	m, ok := h.e.currentHome()
-	acts := ok && m.Life == h.e.life
+	isHome := ok && m.Life == h.e.life
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.closed {
 		return false
 	}
 	now := h.e.now()
-	h.dropSilent(now)
+	h.dropOutOfContact(now)
 	h.core.Tick(now)
-	h.flush()
+	h.deliverDecisions()
 	waiting, running := h.core.Load()
 	h.e.metrics.waiting.Update(float64(waiting))
 	h.e.metrics.running.Update(float64(running))
-	if now.Sub(h.linked) >= linksEvery || acts != h.acted {
-		h.linked, h.acted = now, acts
-		h.keepLinks(now, acts, running)
+	if now.Sub(h.lastLinkUpdate) >= linkUpdateInterval || isHome != h.wasHome {
+		h.lastLinkUpdate, h.wasHome = now, isHome
+		h.updateLinks(now, isHome, running)
 	}
 	return waiting > 0 || running > 0
 }
 
-// linksEvery is how often a home looks for agents that came or are gone.
-const linksEvery = 50 * time.Millisecond
+// linkUpdateInterval is how often a home checks for agents that have joined or left.
+const linkUpdateInterval = 50 * time.Millisecond
 
-// keepLinks keeps a link to each agent that is known, while there is use for it. The
-// caller holds mu.
-func (h *home) keepLinks(now time.Time, acts bool, running int) {
+// updateLinks opens a link to each known agent while this entry is home or runs
+// tasks, and closes the links that are no longer needed. The caller holds mu.
+func (h *home) updateLinks(now time.Time, isHome bool, running int) {
 	agents := h.e.knownAgents()
-	if acts || running > 0 {
-		h.enroll(now, agents)
-		agents = append(agents, h.unclear(now)...)
+	if isHome || running > 0 {
+		h.updateEnrollment(now, agents)
+		agents = append(agents, h.unconfirmedAgents(now)...)
 		for _, a := range agents {
 			if _, ok := h.links[a]; !ok {
 				h.links[a] = newLink(h, a)
@@ -257,20 +261,20 @@
 		known[a] = true
 	}
 	for a, l := range h.links {
-		if !acts && running == 0 || !known[a] && !h.core.Uses(a) {
+		if !isHome && running == 0 || !known[a] && !h.core.Uses(a) {
 			l.close()
 			delete(h.links, a)
 		}
 	}
 }
 
-// close ends all links.
+// close answers all waiters and closes all links.
 func (h *home) close() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.closed = true
 	for id := range h.waiters {
-		h.drop(id, func(*waiter) bool { return true })
+		h.removeWaitersLocked(id, func(*waiter) bool { return true })
 	}
 	for a, l := range h.links {
 		l.close()
@@ -278,47 +282,48 @@
 	}
 }
 
-// dropSilent withdraws the jobs of entries that are out of contact: their
-// callers may submit again elsewhere. The caller holds mu.
-func (h *home) dropSilent(now time.Time) {
+// dropOutOfContact withdraws the jobs of entries that are out of contact, since
+// their callers may submit them again elsewhere. The caller holds mu.
+func (h *home) dropOutOfContact(now time.Time) {
 	for life, c := range h.entries {
-		if life == h.e.life || now.Sub(c.heard) <= entryContact {
+		if life == h.e.life || now.Sub(c.lastContact) <= withdrawJobsAfter {
 			continue
 		}
-		h.dropCallers("its entry is out of contact", func(o caller) bool { return o.life == life })
-		if now.Sub(c.heard) > forgetPeer {
+		h.withdrawSessions("its entry is out of contact", func(o entrySession) bool { return o.life == life })
+		if now.Sub(c.lastContact) > peerRetention {
 			delete(h.entries, life)
 		}
 	}
 }
 
-// dropCallers withdraws the jobs of some entries. The caller holds mu.
-func (h *home) dropCallers(why string, which func(caller) bool) {
-	gone := func(w *waiter) bool { return which(w.entry) }
+// withdrawSessions withdraws the jobs of the sessions that match. The caller holds mu.
+func (h *home) withdrawSessions(reason string, match func(entrySession) bool) {
+	matches := func(w *waiter) bool { return match(w.entry) }
 	for id, ws := range h.waiters {
-		if slices.ContainsFunc(ws, gone) {
-			h.log.Warn().Str("job", id).Str("why", why).Msg("job withdrawn")
-			h.drop(id, gone)
+		if slices.ContainsFunc(ws, matches) {
+			h.log.Warn().Str("job", id).Str("why", reason).Msg("job withdrawn")
+			h.removeWaitersLocked(id, matches)
 		}
 	}
 }
 
-// flush hands out what the core has decided. The caller holds mu.
-func (h *home) flush() {
+// deliverDecisions takes the decisions of the core: it records them in the ledger,
+// answers waiters, sends orders and writes log lines. The caller holds mu.
+func (h *home) deliverDecisions() {
 	d := h.core.Take()
-	h.save(&d)
-	for _, end := range d.Outcomes {
-		for _, w := range h.waiters[end.Job] {
-			w.done <- end.Outcome
+	h.recordDecisions(&d)
+	for _, answer := range d.Outcomes {
+		for _, w := range h.waiters[answer.Job] {
+			w.done <- answer.Outcome
 		}
-		delete(h.waiters, end.Job)
+		delete(h.waiters, answer.Job)
 	}
 	for agent, starts := range d.Starts {
-		h.order(agent, starts, d.Stops[agent])
+		h.sendOrders(agent, starts, d.Stops[agent])
 	}
 	for agent, stops := range d.Stops {
-		if _, done := d.Starts[agent]; !done {
-			h.order(agent, nil, stops)
+		if _, sent := d.Starts[agent]; !sent {
+			h.sendOrders(agent, nil, stops)
 		}
 	}
 	for i := range d.Notes {
@@ -326,13 +331,14 @@
 	}
 }
 
-func (h *home) order(agent string, starts []work.Start, stops []work.Run) {
+func (h *home) sendOrders(agent string, starts []work.Start, stops []work.Run) {
 	if h.closed {
 		return
 	}
 	l, ok := h.links[agent]
 	if !ok {
-		// Its link was closed while it was silent, and it has been heard since.
+		// The link was closed while the agent was out of contact, and the agent has
+		// reported since.
 		l = newLink(h, agent)
 		h.links[agent] = l
 	}
@@ -340,7 +346,7 @@
 }
 
 func (h *home) logNote(n *schedule.Note) {
-	h.e.metrics.noted(n)
+	h.e.metrics.countNote(n)
 	ev := h.log.Info()
 	if n.Job != "" {
 		ev = ev.Str("job", n.Job)
--- a/site/home_ledger.go
+++ b/site/home_ledger.go
@@ -11,172 +11,175 @@
 	"masticbay/work"
 )
 
-// wakeLedger lets the duty of the ledger look at once.
-func (h *home) wakeLedger() {
+// notifyLedger makes ledgerDuty run at once.
+func (h *home) notifyLedger() {
 	select {
-	case h.ledgerDue <- struct{}{}:
+	case h.ledgerWakeup <- struct{}{}:
 	default:
 	}
 }
 
-// ledgerDuty holds the ledger while this entry is home, and commits changes.
+// ledgerDuty is the loop that holds the ledger while this entry is home, and commits
+// changes.
 func (h *home) ledgerDuty() {
 	for {
-		pause := h.ledgerStep()
+		pause := h.runLedgerOnce()
 		timer := time.NewTimer(pause)
 		select {
 		case <-h.e.stop:
 			timer.Stop()
 			return
-		case <-h.ledgerDue:
+		case <-h.ledgerWakeup:
 		case <-timer.C:
 		}
 		timer.Stop()
 	}
 }
 
-// ledgerStep does the next thing with the store, and returns when to look again.
-func (h *home) ledgerStep() time.Duration {
+// runLedgerOnce makes the next call of the store, if one is due, and returns the time
+// until the next round.
+func (h *home) runLedgerOnce() time.Duration {
 	m, ok := h.e.currentHome()
-	acts := ok && m.Life == h.e.life
+	isHome := ok && m.Life == h.e.life
 	h.mu.Lock()
 	now := h.e.now()
-	if wait := h.retry.Sub(now); wait > 0 {
+	if wait := h.storeRetryAt.Sub(now); wait > 0 {
 		h.mu.Unlock()
 		return wait
 	}
-	h.tried = now
-	if !acts {
+	h.lastStoreCall = now
+	if !isHome {
 		h.ledger.Doubt()
 	}
-	known := h.ledger.Epoch() > 0 || h.ledger.Known() && h.found == m.Term
+	holderKnown := h.ledger.Epoch() > 0 || h.ledger.Known() && h.holderTerm == m.Term
 	switch {
-	case acts && !known:
+	case isHome && !holderKnown:
 		h.mu.Unlock()
-		return h.find(m.Term)
+		return h.readHolder(m.Term)
 	case h.ledger.Loading():
 		h.mu.Unlock()
-		return h.load()
-	case acts:
-		h.claim()
-	case h.ledger.Held() && ok && now.Sub(h.ledger.Sent()) < ledgerYield:
-		// The new home has to find a pause in which it can take the ledger.
+		return h.loadOpen()
+	case isHome:
+		h.acquireLedger()
+	case h.ledger.Held() && ok && now.Sub(h.ledger.Sent()) < yieldCommitInterval:
+		// The new home needs a gap between commits in which it can take the ledger.
 		h.mu.Unlock()
-		return ledgerGap
+		return minCommitInterval
 	}
 	next, err := h.ledger.Next(now, h.e.wall())
 	incomplete := h.ledger.Held() && !h.ledger.Whole()
 	h.mu.Unlock()
 	switch {
 	case err != nil:
-		h.e.log.Error().Err(err).Msg("ledger: commit not made")
-		return ledgerRefresh
+		h.e.log.Error().Err(err).Msg("ledger: cannot encode a commit")
+		return tenureRenewInterval
 	case next != nil:
-		go h.commit(next)
+		go h.sendCommit(next)
 		return 0
 	case incomplete:
 		return h.loadEnded()
 	}
-	return h.ledgerPause()
+	return h.untilLedgerWork()
 }
 
-// ledgerPause returns how long there is nothing to commit.
-func (h *home) ledgerPause() time.Duration {
+// untilLedgerWork returns how long to wait before the next commit.
+func (h *home) untilLedgerWork() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.ledger.Changed() {
-		return ledgerGap
+		return minCommitInterval
 	}
-	return homeIdle
+	return idleTickInterval
 }
 
-// find reads who holds the ledger, once in each term as home.
-func (h *home) find(term uint64) time.Duration {
-	it, err := h.way.get(ledger.TenureKey)
+// readHolder reads from the store who holds the ledger, once in each term as home.
+func (h *home) readHolder(term uint64) time.Duration {
+	it, err := h.route.get(ledger.TenureKey)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
-		return h.stall(h.e.now(), err)
+		return h.storeUnanswered(h.e.now(), err)
 	}
-	h.found = term
+	h.holderTerm = term
 	if err := h.ledger.Find(it); err != nil {
-		h.e.log.Error().Err(err).Msg("ledger: holder not understood")
-		return ledgerRefresh
+		h.e.log.Error().Err(err).Msg("ledger: cannot decode the holder")
+		return tenureRenewInterval
 	}
 	return 0
 }
 
-// claim makes the next commit take the ledger, if something is stored or is to
-// be. A home from which it was taken waits a while, lest two homes that do not
-// hear each other take it in turns. The caller holds mu.
-func (h *home) claim() {
-	if h.ledger.Vacant() && !h.wanted || h.e.now().Sub(h.deposed) < claimPause {
+// acquireLedger makes the next commit take the ledger if any job is stored or is to
+// be stored. A home that has lost the ledger waits first, so that two homes that are
+// not in contact do not take it from each other in turn. The caller holds mu.
+func (h *home) acquireLedger() {
+	if h.ledger.Vacant() && !h.storeRequested || h.e.now().Sub(h.deposedAt) < reacquireDelay {
 		return
 	}
 	h.ledger.Claim()
 }
 
-// load reads the ledger after it was claimed.
-func (h *home) load() time.Duration {
-	items, err := h.way.list(ledger.OpenPrefix)
+// loadOpen reads the open jobs after this entry has acquired the ledger.
+func (h *home) loadOpen() time.Duration {
+	items, err := h.route.list(ledger.OpenPrefix)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if err != nil {
-		return h.stall(h.e.now(), err)
+		return h.storeUnanswered(h.e.now(), err)
 	}
 	if err := h.ledger.Load(items); err != nil {
-		h.e.log.Error().Err(err).Msg("ledger: jobs not understood")
-		return ledgerRefresh
+		h.e.log.Error().Err(err).Msg("ledger: cannot decode the open jobs")
+		return tenureRenewInterval
 	}
 	now := h.e.now()
-	h.former, h.clear = h.ledger.Enrolled(), h.ledger.Owned().Add(tenureClear)
-	h.tenure(now)
+	h.previousAgents, h.clear = h.ledger.Enrolled(), h.ledger.Owned().Add(previousRunsEndAfter)
+	h.updateTenure(now)
 	open := h.ledger.Open()
 	for _, j := range open {
-		h.restore(now, j)
+		h.restoreJob(now, j)
 	}
 	for _, l := range h.links {
 		go l.sync(0)
 	}
-	h.e.log.Info().Uint64("epoch", h.ledger.Epoch()).Int("open", len(open)).Int("items", len(items)).Int("agents", len(h.former)).Msg("ledger held")
-	h.flush()
+	h.e.log.Info().Uint64("epoch", h.ledger.Epoch()).Int("open", len(open)).Int("items", len(items)).Int("agents", len(h.previousAgents)).Msg("ledger held")
+	h.deliverDecisions()
 	return 0
 }
 
-// loadEnded reads the jobs that have ended, so that new ones can be accepted.
+// loadEnded reads the jobs that have ended. New jobs can be accepted only after that.
 func (h *home) loadEnded() time.Duration {
-	items, err := h.way.list(ledger.EndedPrefix)
+	items, err := h.route.list(ledger.EndedPrefix)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if err != nil {
-		return h.stall(h.e.now(), err)
+		return h.storeUnanswered(h.e.now(), err)
 	}
 	if err := h.ledger.LoadEnded(items); err != nil {
-		h.e.log.Error().Err(err).Msg("ledger: ended jobs not understood")
-		return ledgerRefresh
+		h.e.log.Error().Err(err).Msg("ledger: cannot decode the ended jobs")
+		return tenureRenewInterval
 	}
 	h.e.log.Info().Uint64("epoch", h.ledger.Epoch()).Int("items", len(items)).Msg("ledger read whole")
 	return 0
 }
 
-// restore gives the core a job that is stored. The caller holds mu.
-func (h *home) restore(now time.Time, j *ledger.Job) {
+// restoreJob adds a stored job to the core. The caller holds mu.
+func (h *home) restoreJob(now time.Time, j *ledger.Job) {
 	w := j.Job
 	wall := h.e.wall()
 	w.Age = max(wall.Sub(j.Submitted), 0)
 	if w.Times > 0 {
-		w.First = now.Add(w.First.Sub(wall)) // by the clock that the core is given
+		w.First = now.Add(w.First.Sub(wall)) // converts to the clock that the core uses
 	}
-	h.core.Restore(now, w, int(h.ledger.Epoch())*runStride, j.Done, j.Failures)
+	h.core.Restore(now, w, int(h.ledger.Epoch())*runNumberStride, j.Done, j.Failures)
 }
 
-// tenure tells the core how far the tenure goes. The caller holds mu.
-func (h *home) tenure(now time.Time) {
+// updateTenure passes the current tenure to the core: the ledger holder's term, a
+// lease with an epoch. The caller holds mu.
+func (h *home) updateTenure(now time.Time) {
 	t := schedule.Tenure{}
 	if h.ledger.Held() {
 		t = schedule.Tenure{
-			Epoch: h.ledger.Epoch(), Until: h.ledger.Owned().Add(tenureLife - tenureMargin),
-			Agents: make(map[string]bool), Former: h.former, Clear: h.clear,
+			Epoch: h.ledger.Epoch(), Until: h.ledger.Owned().Add(tenureDuration - tenureMargin),
+			Agents: make(map[string]bool), Former: h.previousAgents, Clear: h.clear,
 		}
 		for _, a := range h.ledger.Enrolled() {
 			t.Agents[a] = true
@@ -185,99 +188,101 @@
 	h.core.Hold(now, t)
 }
 
-// commit sends a commit and takes its result.
-func (h *home) commit(f *ledger.Flight) {
-	defer h.wakeLedger()
-	rev, err := h.way.commit(f.Commit())
+// sendCommit sends a commit and processes its result.
+func (h *home) sendCommit(pending *ledger.Flight) {
+	defer h.notifyLedger()
+	rev, err := h.route.commit(pending.Commit())
 	conflict, conflicts := errors.AsType[*store.ConflictError](err)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.e.now()
-	var facts []ledger.Fact
+	var changes []ledger.Fact
 	switch {
 	case err == nil:
-		facts = h.ledger.Took(f, rev)
+		changes = h.ledger.Took(pending, rev)
 	case conflicts:
 		var deposed bool
-		if facts, deposed, err = h.ledger.Conflict(f, conflict.Have); err != nil {
-			h.e.log.Error().Err(err).Msg("ledger: holder not understood")
+		if changes, deposed, err = h.ledger.Conflict(pending, conflict.Have); err != nil {
+			h.e.log.Error().Err(err).Msg("ledger: cannot decode the holder")
 			return
 		}
 		h.e.log.Info().Bool("deposed", deposed).Str("holder", h.ledger.Holder()).Uint64("revision", conflict.Have.Revision).Msg("ledger: the condition of a commit does not hold")
 		if deposed {
-			h.deposed = now
-			h.dropAccepts()
+			h.deposedAt = now
+			h.redirectWaiters()
 		}
 	case errors.Is(err, store.ErrRefused):
-		h.ledger.Refused(now, f)
-		h.stall(now, err)
+		h.ledger.Refused(now, pending)
+		h.storeUnanswered(now, err)
 		return
 	default:
-		h.ledger.Lost(now, f)
-		h.stall(now, err)
+		h.ledger.Lost(now, pending)
+		h.storeUnanswered(now, err)
 		return
 	}
-	if h.stalled {
-		h.stalled = false
-		h.e.log.Info().Str("via", h.way.now()).Msg("ledger: the store answers")
+	if h.outageLogged {
+		h.outageLogged = false
+		h.e.log.Info().Str("via", h.route.currentRoute()).Msg("ledger: the store answers")
 	}
-	h.tenure(now)
-	for i := range facts {
-		h.last(now, &facts[i])
+	h.updateTenure(now)
+	for i := range changes {
+		h.onCommitted(now, &changes[i])
 	}
-	h.flush()
+	h.deliverDecisions()
 }
 
-// stall notes that the store did not answer. The caller holds mu.
-func (h *home) stall(now time.Time, err error) time.Duration {
-	if !h.stalled {
-		h.stalled = true
-		h.e.log.Warn().Err(err).Str("via", h.way.now()).Msg("ledger: the store does not answer")
+// storeUnanswered records that the store did not answer, and returns how long to wait
+// before the next call. The caller holds mu.
+func (h *home) storeUnanswered(now time.Time, err error) time.Duration {
+	if !h.outageLogged {
+		h.outageLogged = true
+		h.e.log.Warn().Err(err).Str("via", h.route.currentRoute()).Msg("ledger: the store does not answer")
 	}
-	// A call that was not answered has taken longer than the pause.
-	h.retry = h.tried.Add(ledgerRetry)
-	return max(h.retry.Sub(now), 0)
+	// The interval counts from the start of the call; a call that timed out has
+	// already taken longer.
+	h.storeRetryAt = h.lastStoreCall.Add(storeRetryInterval)
+	return max(h.storeRetryAt.Sub(now), 0)
 }
 
-// last does what has waited for a fact to be stored. The caller holds mu.
-func (h *home) last(now time.Time, f *ledger.Fact) {
-	switch f.Kind {
+// onCommitted does what has waited for a change to be committed. The caller holds mu.
+func (h *home) onCommitted(now time.Time, change *ledger.Fact) {
+	switch change.Kind {
 	case ledger.Accepted:
-		if j, ok := h.ledger.Job(f.Job); ok && j.State == "" {
-			h.restore(now, j)
+		if j, ok := h.ledger.Job(change.Job); ok && j.State == "" {
+			h.restoreJob(now, j)
 		}
-		h.answerAccepts(f.Job, AcceptReply{Outcome: work.Outcome{State: work.Queued}})
+		h.answerAcceptWaiters(change.Job, AcceptReply{Outcome: work.Outcome{State: work.Queued}})
 	case ledger.RunEnded:
-		h.core.Saved(f.Mark.Agent, f.Mark.Life, f.Mark.Seq)
+		h.core.Saved(change.Mark.Agent, change.Mark.Life, change.Mark.Seq)
 	case ledger.JobEnded:
-		if f.State == work.Cancelled {
-			h.core.Cancel(now, f.Job)
+		if change.State == work.Cancelled {
+			h.core.Cancel(now, change.Job)
 		}
-		h.log.Info().Str("job", f.Job).Str("state", string(f.State)).Msg("end of job stored")
-		for _, done := range h.ends[f.Job] {
+		h.log.Info().Str("job", change.Job).Str("state", string(change.State)).Msg("end of job stored")
+		for _, done := range h.endWaiters[change.Job] {
 			close(done)
 		}
-		delete(h.ends, f.Job)
+		delete(h.endWaiters, change.Job)
 	}
 }
 
-// save notes in the ledger what the core has decided about stored jobs. The caller
-// holds mu.
-func (h *home) save(d *schedule.Decisions) {
+// recordDecisions adds the core's decisions about stored jobs to the ledger. The
+// caller holds mu.
+func (h *home) recordDecisions(d *schedule.Decisions) {
 	for _, m := range d.Marks {
 		h.ledger.End(m.Run.Task, m.End, ledger.Mark{Agent: m.Agent, Life: m.Life, Seq: m.Seq})
 	}
-	for _, end := range d.Outcomes {
-		h.ledger.Close(h.e.wall(), end.Job, end.Outcome.State)
+	for _, answer := range d.Outcomes {
+		h.ledger.Close(h.e.wall(), answer.Job, answer.Outcome.State)
 	}
 	if h.ledger.Changed() {
-		h.wakeLedger()
+		h.notifyLedger()
 	}
 }
 
-// enroll keeps the list of agents that may get tasks of stored jobs. The caller
-// holds mu.
-func (h *home) enroll(now time.Time, agents []string) {
+// updateEnrollment enrolls agents in contact, so that they may get tasks of stored
+// jobs, and removes agents at which no such task can run. The caller holds mu.
+func (h *home) updateEnrollment(now time.Time, agents []string) {
 	if !h.ledger.Held() {
 		return
 	}
@@ -289,16 +294,16 @@
 	for _, a := range h.ledger.Enrolled() {
 		if !h.core.Heard(now, a) && now.After(h.clear) {
 			h.ledger.Dismiss(a)
-			h.tenure(now)
+			h.updateTenure(now)
 		}
 	}
 }
 
-// unclear returns the agents that may run tasks of a former holder. The caller
-// holds mu.
-func (h *home) unclear(now time.Time) []string {
+// unconfirmedAgents returns the agents that may still run tasks of the previous
+// holder. The caller holds mu.
+func (h *home) unconfirmedAgents(now time.Time) []string {
 	if now.After(h.clear) {
 		return nil
 	}
-	return h.former
+	return h.previousAgents
 }
--- a/site/home_way.go
+++ b/site/home_route.go
@@ -14,28 +14,28 @@
 	"masticbay/wire"
 )
 
-// storeWay is how a home reaches the store: by itself or, while that fails, through
-// another entry. The store may turn some VMs away and serve others. A commit does
-// no harm if it is sent again on another way, since it is conditional.
-type storeWay struct {
+// storeRoute is how a home reaches the store: directly or, while that fails, through
+// another entry. The store may refuse some VMs and serve others. A commit can be sent
+// again on another route without harm, since it is conditional.
+type storeRoute struct {
 	e *Entry
 
 	mu    sync.Mutex    // guards what follows
-	via   string        // address of the entry that passes calls on; empty for none
-	limit time.Duration // for the answer to the next commit
+	via   string        // address of the entry that relays calls; empty for direct calls
+	limit time.Duration // timeout of the next commit
 }
 
-func newStoreWay(e *Entry) *storeWay { return &storeWay{e: e, limit: commitPatience} }
+func newStoreRoute(e *Entry) *storeRoute { return &storeRoute{e: e, limit: minCommitTimeout} }
 
-// StoreArgs is a call that an entry passes on to the store.
+// StoreArgs is a call that an entry relays to the store.
 type StoreArgs struct {
-	Key    string        // to be read, if set
-	Prefix string        // to be listed, if set
-	Commit *store.Commit // to be carried out, if set
-	Limit  time.Duration // for the answer to a commit
+	Key    string        // is read, if set
+	Prefix string        // is listed, if set
+	Commit *store.Commit // is carried out, if set
+	Limit  time.Duration // timeout of a commit
 }
 
-// StoreReply is the answer.
+// StoreReply is the store's answer to a StoreArgs.
 type StoreReply struct {
 	Items    []store.Item
 	Revision uint64
@@ -43,7 +43,7 @@
 	Missing  bool        // the key does not exist
 }
 
-func (w *storeWay) get(key string) (it store.Item, err error) {
+func (w *storeRoute) get(key string) (it store.Item, err error) {
 	rep, err := w.call(&StoreArgs{Key: key})
 	switch {
 	case err != nil:
@@ -54,7 +54,7 @@
 	return rep.Items[0], nil
 }
 
-func (w *storeWay) list(prefix string) ([]store.Item, error) {
+func (w *storeRoute) list(prefix string) ([]store.Item, error) {
 	rep, err := w.call(&StoreArgs{Prefix: prefix})
 	if err != nil {
 		return nil, err
@@ -62,13 +62,13 @@
 	return rep.Items, nil
 }
 
-func (w *storeWay) commit(c *store.Commit) (rev uint64, err error) {
+func (w *storeRoute) commit(c *store.Commit) (rev uint64, err error) {
 	w.mu.Lock()
 	limit := w.limit
 	w.mu.Unlock()
 	sent := w.e.now()
 	rep, err := w.call(&StoreArgs{Commit: c, Limit: limit})
-	w.learn(limit, w.e.now().Sub(sent), err)
+	w.adjustLimit(limit, w.e.now().Sub(sent), err)
 	switch {
 	case err != nil:
 		return 0, err
@@ -78,25 +78,26 @@
 	return rep.Revision, nil
 }
 
-// patience is how many times as long as for the last answer a commit waits.
-const patience = 4
+// commitTimeoutFactor is the ratio of a commit's timeout to the time that the last
+// answered commit took.
+const commitTimeoutFactor = 4
 
-// learn sets how long the next commit waits. A wait that is too short costs two calls,
-// as the commit is sent again; one that is too long holds everybody up when an answer
-// is lost.
-func (w *storeWay) learn(limit, took time.Duration, err error) {
+// adjustLimit sets the timeout of the next commit. A timeout that is too short costs
+// two calls, since the commit is sent again; one that is too long delays all later
+// changes when an answer is lost.
+func (w *storeRoute) adjustLimit(limit, took time.Duration, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch {
 	case err == nil:
-		w.limit = min(max(patience*took, commitPatience), relayTimeout)
+		w.limit = min(max(commitTimeoutFactor*took, minCommitTimeout), relayTimeout)
 	case !errors.Is(err, store.ErrRefused):
 		w.limit = min(max(w.limit, 2*limit), relayTimeout)
 	}
 }
 
-// call tries the present way. If that fails, the next call tries another.
-func (w *storeWay) call(args *StoreArgs) (rep *StoreReply, err error) {
+// call uses the current route. If the call fails, the next call uses another route.
+func (w *storeRoute) call(args *StoreArgs) (rep *StoreReply, err error) {
 	w.mu.Lock()
 	via := w.via
 	w.mu.Unlock()
@@ -108,7 +109,7 @@
 		rep, err = wire.Call[StoreArgs, StoreReply](ctx, w.e.peer(via), entryStore, args)
 	}
 	if err != nil {
-		w.turn(via)
+		w.nextRoute(via)
 	}
 	return rep, err
 }
@@ -116,11 +117,11 @@
 // relayTimeout bounds a call through another entry, which bounds its own.
 const relayTimeout = time.Second
 
-// turn goes on to the next way after one that failed: the entries in contact in
-// turn, and this entry itself between them.
-func (w *storeWay) turn(failed string) {
+// nextRoute switches from a route that failed to the next one. The rotation is made
+// of this entry itself and the entries in contact, in the order of their addresses.
+func (w *storeRoute) nextRoute(failed string) {
 	var others []string
-	for _, m := range w.e.inTouch() {
+	for _, m := range w.e.entriesInContact() {
 		others = append(others, m.Address)
 	}
 	slices.Sort(others)
@@ -135,14 +136,15 @@
 	}
 }
 
-// now returns the entry through which the store is called; empty for none.
-func (w *storeWay) now() string {
+// currentRoute returns the address of the entry that relays calls of the store; empty
+// if this entry calls the store directly.
+func (w *storeRoute) currentRoute() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.via
 }
 
-// callStore makes a call of the store by itself.
+// callStore calls the store directly.
 func (e *Entry) callStore(args *StoreArgs) (rep *StoreReply, err error) {
 	ctx := context.Background()
 	rep = &StoreReply{}
@@ -167,7 +169,7 @@
 	return rep, err
 }
 
-// Store passes a call on to the store for a home that does not reach it.
+// Store relays a call to the store for a home that cannot reach it.
 func (m *entryMethods) Store(args *StoreArgs, reply *StoreReply) error {
 	rep, err := m.e.callStore(args)
 	if err != nil {
@@ -178,5 +180,5 @@
 }
 
 func ledgerConfig(n *platform.Node) ledger.Config {
-	return ledger.Config{Keep: n.StatusKept + statusKept, Refresh: ledgerRefresh, Gap: ledgerGap, Entries: ledgerEntries, Flights: ledgerFlights}
+	return ledger.Config{Keep: n.StatusKept + extraStatusRetention, Refresh: tenureRenewInterval, Gap: minCommitInterval, Entries: maxCommitEntries, Flights: maxPendingCommits}
 }
--- a/site/home_stored.go
+++ b/site/home_stored.go
@@ -8,38 +8,39 @@
 	"masticbay/work"
 )
 
-// answerAccepts answers those who wait for a job to be stored. The caller holds
-// mu.
-func (h *home) answerAccepts(id string, rep AcceptReply) {
-	for _, w := range h.accepts[id] {
+// answerAcceptWaiters answers the callers that wait for a job to be stored. The
+// caller holds mu.
+func (h *home) answerAcceptWaiters(id string, rep AcceptReply) {
+	for _, w := range h.acceptWaiters[id] {
 		w <- rep
 	}
-	delete(h.accepts, id)
+	delete(h.acceptWaiters, id)
 }
 
-// dropAccepts tells all who wait to ask the new holder. The caller holds mu.
-func (h *home) dropAccepts() {
-	for id := range h.accepts {
-		h.answerAccepts(id, AcceptReply{Moved: true})
+// redirectWaiters answers all callers that wait for a stored job, so that they ask
+// the new holder. The caller holds mu.
+func (h *home) redirectWaiters() {
+	for id := range h.acceptWaiters {
+		h.answerAcceptWaiters(id, AcceptReply{Moved: true})
 	}
-	for id, waiters := range h.ends {
+	for id, waiters := range h.endWaiters {
 		for _, done := range waiters {
 			close(done)
 		}
-		delete(h.ends, id)
+		delete(h.endWaiters, id)
 	}
 }
 
-// accept has a job stored. While the ledger is not held here it does nothing but
-// claim it.
+// accept stores a job and waits until it is committed. While this entry does not hold
+// the ledger, accept only requests that it be acquired.
 func (h *home) accept(ctx context.Context, args *AcceptArgs) (rep AcceptReply) {
 	id := args.Job.ID
 	h.mu.Lock()
 	now := h.e.now()
-	if !h.acts() || !h.ledger.Whole() {
-		h.wanted = true
+	if !h.isHome() || !h.ledger.Whole() {
+		h.storeRequested = true
 		h.mu.Unlock()
-		h.wakeLedger()
+		h.notifyLedger()
 		return AcceptReply{Moved: true}
 	}
 	if h.ledger.Stored(id) {
@@ -47,64 +48,65 @@
 		return AcceptReply{Outcome: work.Outcome{State: work.Queued}}
 	}
 	if _, ok := h.ledger.Job(id); !ok {
-		if out, rejected := h.refuse(now, &args.Job); rejected {
+		if out, rejected := h.checkAdmission(now, &args.Job); rejected {
 			h.mu.Unlock()
 			return AcceptReply{Outcome: out}
 		}
 		h.ledger.Accept(h.e.wall().Add(-args.Job.Age), &args.Job)
 	}
 	wait := make(chan AcceptReply, 1)
-	h.accepts[id] = append(h.accepts[id], wait)
+	h.acceptWaiters[id] = append(h.acceptWaiters[id], wait)
 	h.mu.Unlock()
-	h.wakeLedger()
+	h.notifyLedger()
 	select {
 	case rep = <-wait:
 		return rep
 	case <-ctx.Done():
-		return AcceptReply{Outcome: work.Outcome{State: work.Unknown, Reason: "not known to be stored: " + givenUp(ctx)}}
+		return AcceptReply{Outcome: work.Outcome{State: work.Unknown, Reason: "not known to be stored: " + waitEndReason(ctx)}}
 	case <-h.e.stop:
 		return AcceptReply{Outcome: work.Outcome{State: work.Unknown, Reason: "the home ends"}}
 	}
 }
 
-// acts reports whether this entry is home. The caller holds mu.
-func (h *home) acts() bool {
+// isHome reports whether this entry is home. The caller holds mu.
+func (h *home) isHome() bool {
 	m, ok := h.e.currentHome()
 	return ok && m.Life == h.e.life
 }
 
-// refuse tells why a job is not stored. The caller holds mu.
-func (h *home) refuse(now time.Time, w *work.Job) (out work.Outcome, rejected bool) {
-	why, retry := h.core.Admit(now, w)
-	if stalled := h.ledger.Stalled(now); stalled > ledgerStalled {
-		why, retry = "the store does not answer", stalled
-	}
-	if why == "" {
+// checkAdmission reports whether a job to be stored is rejected, and its outcome if
+// so. The caller holds mu.
+func (h *home) checkAdmission(now time.Time, w *work.Job) (out work.Outcome, rejected bool) {
+	reason, retry := h.core.Admit(now, w)
+	if outage := h.ledger.Stalled(now); outage > maxStoreOutage {
+		reason, retry = "the store does not answer", outage
+	}
+	if reason == "" {
 		return out, false
 	}
-	h.log.Info().Str("job", w.ID).Str("why", why).Dur("retryMs", retry).Msg("rejected")
-	return work.Outcome{State: work.Rejected, Reason: why, RetryAfter: retry}, true
+	h.log.Info().Str("job", w.ID).Str("why", reason).Dur("retryMs", retry).Msg("rejected")
+	return work.Outcome{State: work.Rejected, Reason: reason, RetryAfter: retry}, true
 }
 
-// state tells the state of a stored job. While it runs, the answer waits a moment
-// for its end: callers like to ask when the last task has ended, and else would
-// learn of it only when they ask again.
+// state returns the state of a stored job. While the job runs, the answer waits up to
+// stateLongPoll for its end: callers tend to ask when the last task has ended, and
+// would otherwise learn of the end only when they ask again.
 func (h *home) state(ctx context.Context, id string) (rep StateReply) {
 	h.mu.Lock()
-	rep = h.stateNow(id)
+	rep = h.currentState(id)
 	if rep.State != work.Running {
 		h.mu.Unlock()
 		return rep
 	}
-	done := h.awaitEnd(id)
+	done := h.addEndWaiter(id)
 	h.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, stateWait)
+	ctx, cancel := context.WithTimeout(ctx, stateLongPoll)
 	defer cancel()
-	return h.stateAfter(ctx, id, done)
+	return h.awaitState(ctx, id, done)
 }
 
-// stateAfter waits for the end of a job and tells its state.
-func (h *home) stateAfter(ctx context.Context, id string, done chan struct{}) StateReply {
+// awaitState waits until done is closed or ctx ends, and returns the state of a job.
+func (h *home) awaitState(ctx context.Context, id string, done chan struct{}) StateReply {
 	select {
 	case <-done:
 	case <-ctx.Done():
@@ -112,28 +114,28 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.forgetWait(id, done)
-	return h.stateNow(id)
+	h.removeEndWaiter(id, done)
+	return h.currentState(id)
 }
 
-// awaitEnd returns a channel that is closed once the end of a job is stored, or
+// addEndWaiter returns a channel that is closed once the end of a job is stored or
 // this home has lost the ledger. The caller holds mu.
-func (h *home) awaitEnd(id string) chan struct{} {
+func (h *home) addEndWaiter(id string) chan struct{} {
 	done := make(chan struct{})
-	h.ends[id] = append(h.ends[id], done)
+	h.endWaiters[id] = append(h.endWaiters[id], done)
 	return done
 }
 
-// forgetWait undoes awaitEnd. The caller holds mu.
-func (h *home) forgetWait(id string, done chan struct{}) {
-	rest := slices.DeleteFunc(h.ends[id], func(c chan struct{}) bool { return c == done })
-	if h.ends[id] = rest; len(rest) == 0 {
-		delete(h.ends, id)
+// removeEndWaiter undoes addEndWaiter. The caller holds mu.
+func (h *home) removeEndWaiter(id string, done chan struct{}) {
+	rest := slices.DeleteFunc(h.endWaiters[id], func(c chan struct{}) bool { return c == done })
+	if h.endWaiters[id] = rest; len(rest) == 0 {
+		delete(h.endWaiters, id)
 	}
 }
 
-// stateNow tells the state of a stored job. The caller holds mu.
-func (h *home) stateNow(id string) StateReply {
+// currentState returns the state of a stored job. The caller holds mu.
+func (h *home) currentState(id string) StateReply {
 	if !h.ledger.Held() {
 		return StateReply{Moved: !h.ledger.Vacant()}
 	}
@@ -149,7 +151,7 @@
 	return StateReply{State: work.Queued}
 }
 
-// cancel cancels a stored job and waits until that is stored.
+// cancel cancels a stored job and waits until the cancellation is stored.
 func (h *home) cancel(ctx context.Context, id string) (rep StateReply) {
 	h.mu.Lock()
 	if !h.ledger.Held() {
@@ -166,13 +168,13 @@
 		h.mu.Unlock()
 		return StateReply{State: j.State}
 	}
-	done := h.awaitEnd(id)
+	done := h.addEndWaiter(id)
 	h.mu.Unlock()
-	h.wakeLedger()
-	rep = h.stateAfter(ctx, id, done)
+	h.notifyLedger()
+	rep = h.awaitState(ctx, id, done)
 	switch rep.State {
 	case work.Completed, work.JobFailed, work.Cancelled:
 		return rep
 	}
-	return StateReply{Moved: true} // its end is not stored
+	return StateReply{Moved: true} // the end of the job is not stored
 }
--- a/site/link.go
+++ b/site/link.go
@@ -9,23 +9,24 @@
 	"masticbay/work"
 )
 
-// link is a home's connection to one agent. Its fields are guarded by home.mu.
+// link is a home's connection to one agent: it sends orders and takes reports. Its
+// fields are guarded by home.mu.
 type link struct {
-	h       *home
-	agent   string
-	client  *wire.Client
-	stop    chan struct{}
-	life    string // incarnation of the agent; empty before it was heard
-	echo    time.Duration
-	echoAt  time.Time    // when echo was received
-	orders  []orderBatch // that the agent has not confirmed
-	target  work.Target
-	version uint64
-	silent  atomic.Bool
+	h             *home
+	agent         string
+	client        *wire.Client
+	stop          chan struct{}
+	life          string // incarnation of the agent; empty before its first report
+	echo          time.Duration
+	echoReceived  time.Time    // when echo was received
+	orders        []orderBatch // not acknowledged by the agent
+	target        work.Target
+	targetVersion uint64
+	outOfContact  atomic.Bool
 }
 
-// newLink makes a link to the incarnation of an agent that the core knows. The
-// caller holds home.mu.
+// newLink opens a link to an agent, at first for the incarnation that the core knows.
+// The caller holds home.mu.
 func newLink(h *home, agent string) *link {
 	l := &link{h: h, agent: agent, client: wire.NewClient(agent, rpcOptions(h.e.network)), stop: make(chan struct{})}
 	l.life, _ = h.core.Taken(agent)
@@ -47,7 +48,7 @@
 	}
 }
 
-// duty asks the agent for news again and again.
+// duty is the loop that asks the agent for events.
 func (l *link) duty() {
 	for {
 		select {
@@ -55,37 +56,38 @@
 			return
 		default:
 		}
-		if l.sync(l.wait()) {
+		if l.sync(l.syncWaitTime()) {
 			continue
 		}
 		select {
 		case <-l.stop:
 			return
-		case <-time.After(linkPause):
+		case <-time.After(syncRetryInterval):
 		}
 	}
 }
 
-// wait is how long the next exchange waits for news: not at all before the agent
-// was heard, and longer on large sites, most of all while the agent has no tasks, so
-// that a home makes at most about a thousand exchanges a second.
-func (l *link) wait() time.Duration {
+// syncWaitTime returns how long the next exchange waits for events: not at all before
+// the agent's first report, and longer on large sites, most of all while the agent has
+// no tasks, so that a home makes at most about a thousand exchanges a second.
+func (l *link) syncWaitTime() time.Duration {
 	l.h.mu.Lock()
 	defer l.h.mu.Unlock()
-	wait := max(syncWait, time.Duration(len(l.h.links))*syncPerLink)
+	wait := max(syncWait, time.Duration(len(l.h.links))*syncWaitPerLink)
 	switch {
 	case l.echo == 0:
 		return 0
 	case l.h.core.Uses(l.agent):
-		return min(wait, syncWaitMost)
+		return min(wait, maxSyncWait)
 	}
-	return min(wait, syncWaitIdle)
+	return min(wait, maxIdleSyncWait)
 }
 
-// linkPause is the pause after a sync that failed.
-const linkPause = 30 * time.Millisecond
+// syncRetryInterval is the time between a sync that failed and the next one.
+const syncRetryInterval = 30 * time.Millisecond
 
-// send queues orders and sends them at once. The caller holds home.mu.
+// send queues orders and starts an exchange that carries them. The caller holds
+// home.mu.
 func (l *link) send(starts []work.Start, stops []work.Run) {
 	l.h.lastOrder++
 	b := orderBatch{Seq: l.h.lastOrder, Echo: l.echo, Stops: stops, Starts: starts}
@@ -103,61 +105,61 @@
 // sync makes one exchange and reports whether the agent answered.
 func (l *link) sync(wait time.Duration) bool {
 	l.h.mu.Lock()
-	args := SyncArgs{Home: l.h.e.life, Life: l.life, Echo: l.echo, Orders: l.orders, Target: l.version, Wait: wait}
+	args := SyncArgs{Home: l.h.e.life, Life: l.life, Echo: l.echo, Orders: l.orders, Target: l.targetVersion, Wait: wait}
 	if life, known := l.h.core.Taken(l.agent); life == l.life {
 		args.Known, args.Acked = known, l.h.core.Acked(l.agent)
 	}
-	args.Tenure = l.tenure()
+	args.Tenure = l.ledgerTenure()
 	l.h.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), wait+syncSlack)
 	defer cancel()
 	rep, err := wire.Call[SyncArgs, SyncReply](ctx, l.client, agentSync, &args)
 	if err != nil {
 		l.client.Reset()
-		if !l.closed() && !l.silent.Swap(true) {
+		if !l.closed() && !l.outOfContact.Swap(true) {
 			l.h.e.log.Warn().Err(err).Str("agent", l.agent).Msg("agent does not answer")
 		}
 		return false
 	}
-	if l.silent.Swap(false) {
+	if l.outOfContact.Swap(false) {
 		l.h.e.log.Info().Str("agent", l.agent).Msg("agent answers")
 	}
 	l.h.mu.Lock()
 	defer l.h.mu.Unlock()
 	if l.closed() {
-		return false // another link may have newer news by now
+		return false // another link may have newer reports by now
 	}
-	l.take(rep)
+	l.takeReply(rep)
 	return true
 }
 
-// tenure returns what the agent is told about the ledger. The caller holds
-// home.mu.
-func (l *link) tenure() (t tenureArgs) {
+// ledgerTenure returns the tenure that is sent to the agent. The caller holds home.mu.
+func (l *link) ledgerTenure() (t tenureArgs) {
 	h := l.h
 	t.Vacant = h.ledger.Vacant()
 	if l.echo == 0 || !h.ledger.Held() {
-		return t // the core would not know the jobs of what the agent tells
+		return t // the core does not know the jobs of the runs that the agent would list
 	}
 	t.Epoch = h.ledger.Epoch()
-	// The agent's time was at least echo at echoAt.
-	t.Owned = l.echo + h.ledger.Owned().Sub(l.echoAt)
+	// At echoReceived, the agent's time was at least echo.
+	t.Owned = l.echo + h.ledger.Owned().Sub(l.echoReceived)
 	t.Kept = !h.core.Confirmed(l.agent)
 	return t
 }
 
-// take takes a reply. The caller holds home.mu.
-func (l *link) take(rep *SyncReply) {
+// takeReply processes the reply of an exchange: the agent's incarnation, its
+// acknowledgement of orders and its report. The caller holds home.mu.
+func (l *link) takeReply(rep *SyncReply) {
 	if rep.Report.Life != l.life {
-		l.life, l.orders, l.echo, l.version = rep.Report.Life, nil, 0, 0
+		l.life, l.orders, l.echo, l.targetVersion = rep.Report.Life, nil, 0, 0
 	}
 	if rep.Report.Target.ID != "" {
 		l.target = rep.Report.Target
-		l.version = rep.Target
+		l.targetVersion = rep.Target
 	}
 	stale := rep.Stamp < l.echo
 	if rep.Stamp > l.echo {
-		l.echo, l.echoAt = rep.Stamp, l.h.e.now()
+		l.echo, l.echoReceived = rep.Stamp, l.h.e.now()
 	}
 	for len(l.orders) > 0 && l.orders[0].Seq <= rep.Taken {
 		l.orders = l.orders[1:]
@@ -167,5 +169,5 @@
 	}
 	rep.Report.Target = l.target
 	l.h.core.Report(l.h.e.now(), l.agent, &rep.Report)
-	l.h.flush()
+	l.h.deliverDecisions()
 }
--- a/site/messages.go
+++ b/site/messages.go
@@ -8,7 +8,7 @@
 	"masticbay/work"
 )
 
-// The methods of the processes of a site.
+// The RPC methods of the processes of a site.
 const (
 	agentSync     = "Agent.Sync"
 	entryAnnounce = "Entry.Announce"
@@ -22,77 +22,77 @@
 	entryStore    = "Entry.Store"
 )
 
-// orderBatch is what a home wants of an agent, under a number that rises.
+// orderBatch holds orders of a home to an agent under a rising sequence number.
 type orderBatch struct {
 	Seq    uint64
-	Echo   time.Duration     // the agent's time that the home knew when it decided
-	Specs  map[string]string // by job, so that its tasks share one copy
+	Echo   time.Duration     // the agent's last stamp that the home had when it decided
+	Specs  map[string]string // by job, so that the tasks of a job share one copy
 	Starts []work.Start      // without Spec
 	Stops  []work.Run
 }
 
-// SyncArgs carries orders to an agent and asks for news. All orders that the
-// agent has not confirmed are sent again; it takes each once.
+// SyncArgs carries orders to an agent and asks for events. All orders that the agent
+// has not acknowledged are sent again; it takes each once.
 type SyncArgs struct {
 	Home   string // incarnation of the home
 	Life   string // incarnation of the agent that the orders are for; empty if unknown
 	Echo   time.Duration
 	Orders []orderBatch
-	Acked  uint64        // events up to this number are forgotten
-	Known  uint64        // events up to this number are known; the agent need not hurry to tell them
-	Tenure tenureArgs    // of the home
+	Acked  uint64        // events up to this number are acknowledged; the agent drops them
+	Known  uint64        // the home has received events up to this number; they do not end the wait
+	Tenure tenureArgs    // the home's tenure of the ledger
 	Target uint64        // version of the worker's description that the home has
-	Wait   time.Duration // for news
+	Wait   time.Duration // for events (long poll)
 }
 
-// tenureArgs tells an agent whether a home holds the ledger.
+// tenureArgs describes a home's tenure of the ledger to an agent.
 type tenureArgs struct {
-	Epoch  uint64        // 0: it does not
-	Vacant bool          // nothing is stored on the site
-	Owned  time.Duration // agent's own time when the home was known to hold it
-	Kept   bool          // the home wants to know what the agent keeps
+	Epoch  uint64        // 0 if the home does not hold the ledger
+	Vacant bool          // no job is stored on the site
+	Owned  time.Duration // the agent's time when the tenure was last renewed
+	Kept   bool          // the agent is asked for the runs that the home may inherit
 }
 
-// SyncReply is what an agent tells a home.
+// SyncReply is an agent's report to a home.
 type SyncReply struct {
 	Stamp  time.Duration   // the agent's time
-	Taken  uint64          // orders up to this number were taken
+	Taken  uint64          // orders up to this number were received
 	Target uint64          // version of the worker's description
-	Report schedule.Report // with a Target only if the home has another version
+	Report schedule.Report // includes Target only if the home has another version
 }
 
-// AnnounceArgs tells an entry of an agent.
+// AnnounceArgs announces an agent to an entry.
 type AnnounceArgs struct {
 	Address string
 	Service string
 }
 
-// AnnounceReply tells an agent to which entries to announce itself.
+// AnnounceReply lists the entries to which the agent has to announce itself.
 type AnnounceReply struct {
 	Panel []string
 }
 
-// GreetArgs is exchanged between entries.
+// GreetArgs is a greeting, the heartbeat between entries.
 type GreetArgs struct {
 	Member  roster.Member
 	Session uint64 // of the sender at the receiver; see RunArgs
-	// Panel are the entries that all others greet, as the sender sees them; empty if
-	// that is what the receiver was told last, going by Sum.
+	// Panel lists the entries that all others greet, as the sender sees them; empty if
+	// Sum shows that the receiver has the same panel.
 	Panel   []string
 	Sum     uint64
-	Config  uint64         // version of the configuration that it has in force
-	Waiting map[string]int // by queue: stored jobs that have not begun, if the sender is home
+	Config  uint64         // version of the configuration that the sender has in force
+	Waiting map[string]int // by queue: jobs that have not started, if the sender is home
 }
 
-// GreetReply is the receiver's side.
+// GreetReply is the receiver's own greeting.
 type GreetReply GreetArgs
 
 // RunArgs hands a job to the home.
 type RunArgs struct {
 	Entry    string // incarnation of the sender
-	Session  uint64 // rises when the sender gives up the jobs that it has at the receiver
+	Session  uint64 // rises when the sender gives up its jobs at the receiver
 	Job      work.Job
-	FirstRun int // runs are numbered from the next one
+	FirstRun int // runs of each task are numbered from FirstRun+1
 }
 
 // RunReply is sent when the job has ended.
@@ -101,7 +101,7 @@
 	Moved   bool // the receiver is not home and did nothing
 }
 
-// WithdrawArgs takes a job back.
+// WithdrawArgs withdraws a job, since no caller waits for it.
 type WithdrawArgs struct {
 	Entry   string
 	Session uint64
@@ -124,7 +124,7 @@
 	Job work.Job
 }
 
-// AcceptReply tells whether it is stored.
+// AcceptReply reports whether the job is stored.
 type AcceptReply struct {
 	Outcome work.Outcome // Queued once it is stored
 	Moved   bool         // the receiver does not hold the ledger, and did nothing
@@ -135,11 +135,11 @@
 	ID string
 }
 
-// StateReply tells the state of a stored job.
+// StateReply is the state of a stored job.
 type StateReply struct {
 	State work.State // empty if there is no such job
 	Moved bool       // the receiver does not hold the ledger
 }
 
-// CancelReply tells the state after a cancellation.
+// CancelReply is the state of a job after a cancellation.
 type CancelReply StateReply
--- a/site/site.go
+++ b/site/site.go
@@ -1,27 +1,37 @@
-// Package site runs masticbay on the users' platform: entries, which take jobs
-// from callers, and agents, which run tasks on the worker beside them.
+// Package site runs masticbay on the platform of its users with two kinds of process:
+// entries take jobs from callers, and agents run tasks on the worker beside them.
 //
 // # Model
 //
 //	caller ──► entry ──► home ──► agent ──► worker
 //
-// The entry that has a caller's connection answers for the job. It hands the
-// job whole to the home, the entry that places all tasks of the site (package
-// schedule), and waits for the outcome. Homes are agreed on by package roster.
-// An agent (package worker) takes orders from homes and is the only process
-// that calls its worker.
+// The entry that has a caller's connection is responsible for the answer. It hands
+// the whole job to the home, the coordinator that places all tasks of the site
+// (package schedule), and waits for the outcome. Package roster selects the home
+// among the entries; the panel is the home and the candidates for failover. An agent
+// (package worker) takes orders from homes and is the only process that calls its
+// worker.
 //
-// Of jobs whose callers wait for the end nothing is stored. If a home is lost, the
-// entries hand their jobs to the next one after the time in which every run of the
-// lost home has certainly ended; if an entry is lost, its caller submits again, and
-// by then its runs have ended too. The times in this file make that hold.
+// Jobs whose callers wait for the end are not stored. If a home is lost, the entries
+// hand their jobs to the next one only when every run of the lost home has certainly
+// ended. If an entry is lost, its callers submit again, and its runs have ended by
+// then. The times in this file guarantee both.
 //
-// Stored jobs are in the ledger (package ledger), which one home holds at a time. The
-// next one goes on with their runs.
+// Stored jobs are in the ledger (package ledger), which one home holds at a time for
+// a tenure (its term, a lease with an epoch). The next holder goes on with their runs.
 //
-// Decisions are made by the packages schedule, worker, roster and ledger. This package
-// moves their inputs and outputs: HTTP through package platform, net/rpc
-// through package wire.
+// The packages schedule, worker, roster and ledger make the decisions. This package
+// moves their inputs and outputs: HTTP through package platform, net/rpc through
+// package wire.
+//
+// # Terms
+//
+// These names are part of messages and log lines. A life is an incarnation of a
+// process. A session is the set of jobs that an entry has at a home; its number rises
+// when the entry gives up these jobs. A greeting is the heartbeat between entries. A
+// stamp is the issuer's monotonic time, and an echo is a stamp sent back to its
+// issuer. An entry is deposed when a higher epoch supersedes its tenure. A duty is a
+// loop that runs in its own goroutine.
 //
 // # Usage
 //
@@ -42,93 +52,93 @@
 )
 
 // The chain of leases. A run ends at the latest
-//   - agentContact after its home was last heard by a working agent,
-//   - workerLease later if the agent stands still.
+//   - stopRunsAfter after the last contact of its home with a working agent,
+//   - workerLease later if the agent has stopped working.
 const (
-	workerLease   = 800 * time.Millisecond // two lost looks are borne
-	lookWait      = 100 * time.Millisecond // a look returns at an end, or after this
-	lookSlack     = 50 * time.Millisecond  // for the answer to a look that has waited
-	lookers       = 2                      // looks that wait side by side, as one may get no answer
-	workerSilence = 250 * time.Millisecond // without an answered look: no new task
-	idleAge       = 250 * time.Millisecond // without progress: a run counts as idle
-	orderTimeout  = 60 * time.Millisecond  // then a start counts as unanswered; answers take 2 ms
-	agentContact  = 450 * time.Millisecond // silence of a home after which an agent stops its runs
-	orderLife     = 400 * time.Millisecond // oldest echo with which an agent takes an order
-	syncWait      = 100 * time.Millisecond // so an agent hears its home four times in agentContact
-	syncPerLink   = time.Millisecond
-	greetPerEntry = 2500 * time.Microsecond // of the pause between greetings of a home, for each entry that is known
-	syncWaitMost  = 200 * time.Millisecond  // agentSuspect less the time of a message that is sent again
-	syncWaitIdle  = 400 * time.Millisecond  // of agents without tasks
-	suspectIdle   = syncWaitIdle + 150*time.Millisecond
-	syncSlack     = 250 * time.Millisecond // for the answer to a sync that has waited
-	agentSuspect  = 300 * time.Millisecond // silence of an agent after which it gets no new task
-	agentLost     = agentContact + workerLease + 100*time.Millisecond
-	entryContact  = 450 * time.Millisecond // silence of an entry after which a home withdraws its jobs
-	homeSilence   = 350 * time.Millisecond // silence after which a home counts as lost
-	greetHome     = 100 * time.Millisecond // so a home hears an entry four times in entryContact
-	greetHomeMost = 150 * time.Millisecond // so a home hears an entry three times in entryContact
-	greetIdle     = 200 * time.Millisecond // of a home that has no jobs from here; shorter than homeSilence
-	panelTold     = time.Second            // how long entries are greeted like the panel after another one told them
-	greetOthers   = 400 * time.Millisecond
-	greetTimeout  = 250 * time.Millisecond
-	peerSilence   = 1200 * time.Millisecond             // of entries that are not home
-	failover      = agentContact + 400*time.Millisecond // after the last message to a lost home: leases, and a stop sent twice
-	announceEvery = 700 * time.Millisecond
-	announceSoon  = 100 * time.Millisecond // while an agent is young and some entry does not answer, or none does
-	announceYoung = 5 * time.Second
-	agentKnown    = 2500 * time.Millisecond // silence after which an entry forgets an agent
-	listenFirst   = 150 * time.Millisecond  // before an entry makes itself home; a home in contact answers within a few ms
-	panelSize     = 5                       // entries that may be the next home; all at once are lost only with the site
-	forgetPeer    = 30 * time.Second
-	runStride     = 1000 // between run numbers of a task under successive homes
+	workerLease             = 800 * time.Millisecond // covers two lost polls
+	pollWait                = 100 * time.Millisecond // a poll returns at the end of a run, or after this time
+	pollSlack               = 50 * time.Millisecond  // for the answer to a poll that has waited
+	pollers                 = 2                      // concurrent polls, since one of them may get no answer
+	workerContactTimeout    = 250 * time.Millisecond // without an answered poll, the worker gets no new task
+	stallAge                = 250 * time.Millisecond // without progress, a run counts as stalled
+	orderTimeout            = 60 * time.Millisecond  // after which a start counts as unanswered; answers take 2 ms
+	stopRunsAfter           = 450 * time.Millisecond // out of contact with a home, an agent stops its runs
+	orderMaxAge             = 400 * time.Millisecond // greatest age of the echo of an order that an agent takes
+	syncWait                = 100 * time.Millisecond // so that an agent hears from its home four times in stopRunsAfter
+	syncWaitPerLink         = time.Millisecond
+	greetIntervalPerEntry   = 2500 * time.Microsecond // of the interval between greetings of a home, for each known entry
+	maxSyncWait             = 200 * time.Millisecond  // suspectAfter less the time of a message that is sent again
+	maxIdleSyncWait         = 400 * time.Millisecond  // for agents without tasks
+	suspectIdleAfter        = maxIdleSyncWait + 150*time.Millisecond
+	syncSlack               = 250 * time.Millisecond // for the answer to a sync that has waited
+	suspectAfter            = 300 * time.Millisecond // out of contact, an agent gets no new task
+	runsLostAfter           = stopRunsAfter + workerLease + 100*time.Millisecond
+	withdrawJobsAfter       = 450 * time.Millisecond // out of contact with an entry, a home withdraws its jobs
+	homeContactTimeout      = 350 * time.Millisecond // out of contact, a home counts as lost
+	homeGreetInterval       = 100 * time.Millisecond // so that a home hears from an entry four times in withdrawJobsAfter
+	maxHomeGreetInterval    = 150 * time.Millisecond // so that a home hears from an entry three times in withdrawJobsAfter
+	idleHomeGreetInterval   = 200 * time.Millisecond // for a home that has no jobs of this entry; shorter than homeContactTimeout
+	panelNamedFor           = time.Second            // how long an entry is greeted like the panel after another entry named it
+	panelGreetInterval      = 400 * time.Millisecond
+	greetTimeout            = 250 * time.Millisecond
+	peerContactTimeout      = 1200 * time.Millisecond              // for entries that are not home
+	failoverDelay           = stopRunsAfter + 400*time.Millisecond // from the last message to a lost home until its jobs are handed to the next one; covers the leases and a stop that is sent twice
+	announceInterval        = 700 * time.Millisecond
+	startupAnnounceInterval = 100 * time.Millisecond // between announcements to an entry that does not answer, in startupAnnounceFor
+	startupAnnounceFor      = 5 * time.Second
+	agentContactTimeout     = 2500 * time.Millisecond // out of contact, an agent is removed by an entry
+	startupWait             = 150 * time.Millisecond  // before an entry becomes home; a home in contact answers within a few ms
+	panelSize               = 5                       // candidates for failover; they are all lost at once only if the site is lost
+	peerRetention           = 30 * time.Second
+	runNumberStride         = 1000 // between run numbers of a task under successive homes
 )
 
-// The ledger of stored jobs.
+// The times and limits of the ledger of stored jobs.
 const (
-	tenureLife     = 5 * time.Second        // how long a holder may go on without the store; its outages last that long
-	tenureMargin   = time.Second            // before the end of it no task is placed any more
-	handover       = 750 * time.Millisecond // silence of the holder after which an agent stops runs of stored jobs; the next one is there after 400 to 500 ms
-	agentLostHeld  = handover + workerLease + 100*time.Millisecond
-	tenureClear    = tenureLife + workerLease + 500*time.Millisecond // from a claim on: no run of a former holder is left; a tick, a stop and slack included
-	ledgerRefresh  = 700 * time.Millisecond                          // between commits, far more often than tenureLife
-	ledgerGap      = 10 * time.Millisecond                           // between commits; as long as two answers of the store take
-	ledgerYield    = 60 * time.Millisecond                           // between commits of a holder that is not home any more
-	ledgerRetry    = 60 * time.Millisecond                           // between calls of the store that fail at once
-	ledgerFlights  = 8                                               // commits side by side: at 60 times its usual delay the store answers 4 a second on each
-	ledgerEntries  = 32                                              // most conditions, writes and deletions of a commit that the store takes
-	ledgerStalled  = 600 * time.Millisecond                          // without an answer from the store: no job is accepted
-	commitPatience = 100 * time.Millisecond                          // for the answer to a first commit, 20 times the usual; doubled each time there is none
-	claimPause     = 2 * time.Second                                 // before a home claims the ledger again that another one took from it
-	statusKept     = 20 * time.Second                                // how long an ended job is kept beyond what callers are promised
-	stateWait      = 500 * time.Millisecond                          // for the end of a running job that a caller asks about
-	stateFallback  = 400 * time.Millisecond                          // without an answer from the holder: the store is asked
+	tenureDuration       = 5 * time.Second        // how long a holder may go on without the store, whose outages last that long
+	tenureMargin         = time.Second            // no task is placed in this time before the tenure ends
+	stopStoredRunsAfter  = 750 * time.Millisecond // out of contact with the holder, an agent stops runs of stored jobs; the next holder takes over after 400 to 500 ms
+	storedRunsLostAfter  = stopStoredRunsAfter + workerLease + 100*time.Millisecond
+	previousRunsEndAfter = tenureDuration + workerLease + 500*time.Millisecond // after the ledger is acquired, no run of the previous holder is left; includes a tick, a stop and slack
+	tenureRenewInterval  = 700 * time.Millisecond                              // between commits, far shorter than tenureDuration
+	minCommitInterval    = 10 * time.Millisecond                               // between commits; as long as two answers of the store take
+	yieldCommitInterval  = 60 * time.Millisecond                               // between commits of a holder that is no longer home
+	storeRetryInterval   = 60 * time.Millisecond                               // between calls of the store that fail at once
+	maxPendingCommits    = 8                                                   // concurrent commits; at 60 times its usual delay, the store answers 4 a second on each
+	maxCommitEntries     = 32                                                  // most conditions, writes and deletions in a commit that the store takes
+	maxStoreOutage       = 600 * time.Millisecond                              // without an answer from the store, no job is accepted
+	minCommitTimeout     = 100 * time.Millisecond                              // of a first commit, 20 times the usual answer time; doubled after each commit without an answer
+	reacquireDelay       = 2 * time.Second                                     // before a home acquires the ledger again after another home took it
+	extraStatusRetention = 20 * time.Second                                    // how long an ended job is kept beyond the time promised to callers
+	stateLongPoll        = 500 * time.Millisecond                              // for the end of a running job whose state a caller asks for
+	stateFallbackAfter   = 400 * time.Millisecond                              // without an answer from the holder, the store is asked
 )
 
-// requestLines bounds the lines about single jobs and runs, a second and process,
-// if the settings do not.
-// A home writes one for each job, up to 155 a second on standard days of the small
-// sites; on the grown ones it leaves some out.
-const requestLines = 400
+// defaultRequestLines is the most log lines about single jobs and runs that a process
+// writes in a second, unless the settings say otherwise. A home writes one for each
+// job, up to 155 a second on standard days of the small sites; on larger sites some
+// lines are dropped.
+const defaultRequestLines = 400
 
-// bounded returns a log for lines about single jobs and runs.
-func bounded(log zerolog.Logger, lines int) zerolog.Logger {
-	lines = cmp.Or(lines, requestLines)
+// rateLimited returns a log that drops lines above a number in each second.
+func rateLimited(log zerolog.Logger, lines int) zerolog.Logger {
+	lines = cmp.Or(lines, defaultRequestLines)
 	return log.Sample(&zerolog.BurstSampler{Burst: uint32(lines), Period: time.Second})
 }
 
-// GuardConfig returns the limits by which an agent judges its worker.
+// GuardConfig returns the limits of an agent's guard.
 func GuardConfig(n *platform.Node) worker.Config {
-	return worker.Config{Lease: workerLease, LongestLease: n.LongestLease, Contact: agentContact, Handover: handover, OrderLife: orderLife, Forget: forgetPeer, Silence: workerSilence, Tenure: tenureLife, IdleAge: idleAge}
+	return worker.Config{Lease: workerLease, LongestLease: n.LongestLease, Contact: stopRunsAfter, Handover: stopStoredRunsAfter, OrderLife: orderMaxAge, Forget: peerRetention, Silence: workerContactTimeout, Tenure: tenureDuration, IdleAge: stallAge}
 }
 
-// HomeConfig returns the limits by which a home places tasks.
+// HomeConfig returns the limits of a home's scheduler core.
 func HomeConfig(n *platform.Node) schedule.Config {
 	return schedule.Config{
-		Suspect: agentSuspect, SuspectIdle: suspectIdle, Lost: agentLost, LostHeld: agentLostHeld, Far: n.FarFactor, Late: 3, Margin: 5 * time.Millisecond,
+		Suspect: suspectAfter, SuspectIdle: suspectIdleAfter, Lost: runsLostAfter, LostHeld: storedRunsLostAfter, Far: n.FarFactor, Late: 3, Margin: 5 * time.Millisecond,
 		Remember: 4096, MaxQueued: 20000,
 	}
 }
 
 func rosterConfig() roster.Config {
-	return roster.Config{HomeSilence: homeSilence, Silence: peerSilence, Listen: listenFirst, Forget: forgetPeer, Panel: panelSize}
+	return roster.Config{HomeSilence: homeContactTimeout, Silence: peerContactTimeout, Listen: startupWait, Forget: peerRetention, Panel: panelSize}
 }
