--- a/health/tracker.go
+++ b/health/tracker.go
@@ -19,34 +19,34 @@
 import "time"
 
 const (
-	failStreak    = 5 // failures in a row that start a quarantine
-	firstPause    = time.Second
-	longestPause  = 30 * time.Second
-	meanSmoothing = 0.02
+	quarantineFailures = 5 // failures in a row that start a quarantine
+	initialBackoff     = time.Second
+	maxBackoff         = 30 * time.Second
+	meanSmoothing      = 0.02
 )
 
 // Tracker follows one target. The zero Tracker is healthy.
 type Tracker struct {
-	streak  int
-	pause   time.Duration
-	resume  time.Time
-	probing bool
-	mean    float64 // seconds
-	samples int
+	consecutiveFailures int
+	backoff             time.Duration
+	nextProbe           time.Time
+	probing             bool
+	mean                float64 // seconds
+	samples             int
 }
 
 // Quarantined reports whether the target gets probes only.
 func (t *Tracker) Quarantined() bool {
-	return t.pause > 0
+	return t.backoff > 0
 }
 
 // Allows reports whether a task may be sent now.
 func (t *Tracker) Allows(now time.Time) bool {
-	return !t.Quarantined() || (!t.probing && !now.Before(t.resume))
+	return !t.Quarantined() || (!t.probing && !now.Before(t.nextProbe))
 }
 
 // Resume returns the time of the next probe of a quarantined target.
-func (t *Tracker) Resume() time.Time { return t.resume }
+func (t *Tracker) Resume() time.Time { return t.nextProbe }
 
 // Begin records that a task was sent.
 func (t *Tracker) Begin() {
@@ -64,28 +64,28 @@
 func (t *Tracker) End(now time.Time, failed, lonely bool, took time.Duration) {
 	t.probing = false
 	if failed {
-		t.fail(now, lonely)
+		t.recordFailure(now, lonely)
 		return
 	}
-	t.streak = 0
-	t.pause = 0
-	t.observe(took.Seconds())
+	t.consecutiveFailures = 0
+	t.backoff = 0
+	t.recordRunTime(took.Seconds())
 }
 
-func (t *Tracker) fail(now time.Time, lonely bool) {
-	t.streak++
+func (t *Tracker) recordFailure(now time.Time, lonely bool) {
+	t.consecutiveFailures++
 	switch {
 	case t.Quarantined():
-		t.pause = min(2*t.pause, longestPause)
-	case t.streak >= failStreak && !lonely:
-		t.pause = firstPause
+		t.backoff = min(2*t.backoff, maxBackoff)
+	case t.consecutiveFailures >= quarantineFailures && !lonely:
+		t.backoff = initialBackoff
 	default:
 		return
 	}
-	t.resume = now.Add(t.pause)
+	t.nextProbe = now.Add(t.backoff)
 }
 
-func (t *Tracker) observe(seconds float64) {
+func (t *Tracker) recordRunTime(seconds float64) {
 	t.samples++
 	weight := max(meanSmoothing, 1/float64(t.samples))
 	t.mean += weight * (seconds - t.mean)
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -35,23 +35,23 @@
 
 // Queue holds the waiting jobs of one service. The zero Queue is empty.
 type Queue struct {
-	teams   map[string]*team
-	order   []*team // in the order of their first job
-	items   map[job.Key]*node
-	waiting int
-	virtual float64 // service received, per unit of weight
-	seq     uint64
+	teams       map[string]*team
+	order       []*team // in the order of their first job
+	items       map[job.Key]*waitingJob
+	waiting     int
+	virtualTime float64 // service received, per unit of weight
+	seq         uint64
 }
 
 type team struct {
-	name    string
-	weight  float64
-	virtual float64
-	streak  int // tasks taken since none waited
-	jobs    nodes
+	name            string
+	weight          float64
+	virtualTime     float64
+	busyPeriodTasks int // tasks taken since none waited
+	jobs            jobHeap
 }
 
-type node struct {
+type waitingJob struct {
 	Item
 	team  *team
 	seq   uint64
@@ -90,10 +90,10 @@
 	t := q.team(it.Team)
 	t.weight = max(weight, minWeight)
 	if len(t.jobs) == 0 {
-		t.virtual = max(t.virtual, q.virtual)
+		t.virtualTime = max(t.virtualTime, q.virtualTime)
 	}
 	q.seq++
-	n := &node{Item: it, team: t, seq: q.seq}
+	n := &waitingJob{Item: it, team: t, seq: q.seq}
 	q.items[it.Key] = n
 	heap.Push(&t.jobs, n)
 }
@@ -106,7 +106,7 @@
 		return false
 	}
 	for _, other := range q.order {
-		if other != t && other.streak >= t.streak {
+		if other != t && other.busyPeriodTasks >= t.busyPeriodTasks {
 			return false
 		}
 	}
@@ -123,7 +123,7 @@
 	}
 	if q.teams == nil {
 		q.teams = make(map[string]*team)
-		q.items = make(map[job.Key]*node)
+		q.items = make(map[job.Key]*waitingJob)
 	}
 	t = &team{name: name}
 	q.teams[name] = t
@@ -135,7 +135,7 @@
 func (q *Queue) Next(allowed func(team string) bool) (Item, bool) {
 	var best *team
 	for _, t := range q.order {
-		if len(t.jobs) == 0 || (best != nil && t.virtual >= best.virtual) {
+		if len(t.jobs) == 0 || (best != nil && t.virtualTime >= best.virtualTime) {
 			continue
 		}
 		if allowed(t.name) {
@@ -154,10 +154,10 @@
 	if n == nil {
 		return
 	}
-	q.virtual = max(q.virtual, n.team.virtual)
-	n.team.virtual += 1 / n.team.weight
-	n.team.streak++
-	q.drop(n, 1)
+	q.virtualTime = max(q.virtualTime, n.team.virtualTime)
+	n.team.virtualTime += 1 / n.team.weight
+	n.team.busyPeriodTasks++
+	q.removeTasks(n, 1)
 }
 
 // Remove removes all waiting tasks of a job and returns their number.
@@ -167,11 +167,11 @@
 		return 0
 	}
 	waiting := n.Waiting
-	q.drop(n, waiting)
+	q.removeTasks(n, waiting)
 	return waiting
 }
 
-func (q *Queue) drop(n *node, count int) {
+func (q *Queue) removeTasks(n *waitingJob, count int) {
 	n.Waiting -= count
 	q.waiting -= count
 	if n.Waiting > 0 {
@@ -180,17 +180,17 @@
 	}
 	heap.Remove(&n.team.jobs, n.index)
 	if len(n.team.jobs) == 0 {
-		n.team.streak = 0
+		n.team.busyPeriodTasks = 0
 	}
 	delete(q.items, n.Key)
 }
 
-// nodes is a heap of jobs, the next one first.
-type nodes []*node
+// jobHeap is a heap of jobs, the next one first.
+type jobHeap []*waitingJob
 
-func (h nodes) Len() int { return len(h) }
+func (h jobHeap) Len() int { return len(h) }
 
-func (h nodes) Less(i, j int) bool {
+func (h jobHeap) Less(i, j int) bool {
 	a, b := h[i], h[j]
 	if a.Waiting != b.Waiting {
 		return a.Waiting < b.Waiting
@@ -201,18 +201,18 @@
 	return a.seq < b.seq
 }
 
-func (h nodes) Swap(i, j int) {
+func (h jobHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].index, h[j].index = i, j
 }
 
-func (h *nodes) Push(x any) {
-	n := x.(*node)
+func (h *jobHeap) Push(x any) {
+	n := x.(*waitingJob)
 	n.index = len(*h)
 	*h = append(*h, n)
 }
 
-func (h *nodes) Pop() any {
+func (h *jobHeap) Pop() any {
 	old := *h
 	n := old[len(old)-1]
 	old[len(old)-1] = nil
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -61,12 +61,12 @@
 
 // loan is what an entry holds of a team's limit.
 type loan struct {
-	want   int
-	seen   time.Time
-	grants []grant // that may be in use; each later one is smaller and ends later
+	wanted     int
+	lastReport time.Time
+	grants     []grant // that may be in use; each later one is smaller and ends later
 }
 
-func (l *loan) held(now time.Time) int {
+func (l *loan) reserved(now time.Time) int {
 	for len(l.grants) > 0 && !now.Before(l.grants[0].until) {
 		l.grants = l.grants[1:]
 	}
@@ -92,34 +92,34 @@
 		loans[entry] = mine
 	}
 	base := Base(n.Limit, n.Entries)
-	mine.want, mine.seen = max(0, n.Want-base), now
+	mine.wanted, mine.lastReport = max(0, n.Want-base), now
 	pool := max(0, n.Limit-base*n.Entries)
 	room := pool
 	for id, ln := range loans {
 		if id != entry {
-			room -= ln.held(now)
+			room -= ln.reserved(now)
 		}
 	}
-	amount := max(0, min(mine.want, fair(now, loans, entry, pool), room))
-	mine.lend(now, amount)
+	amount := max(0, min(mine.wanted, fairShare(now, loans, entry, pool), room))
+	mine.addGrant(now, amount)
 	return amount
 }
 
-// lend adds a grant, which takes the place of those that are not larger.
-func (l *loan) lend(now time.Time, amount int) {
+// addGrant adds a grant, which takes the place of those that are not larger.
+func (l *loan) addGrant(now time.Time, amount int) {
 	for n := len(l.grants); n > 0 && l.grants[n-1].amount <= amount; n-- {
 		l.grants = l.grants[:n-1]
 	}
 	l.grants = append(l.grants, grant{amount: amount, until: now.Add(Hold)})
 }
 
-// fair returns the share of an entry when the pool is dealt out evenly to those
+// fairShare returns the share of an entry when the pool is dealt out evenly to those
 // that want some, and what one does not want goes to the others.
-func fair(now time.Time, loans map[string]*loan, entry string, pool int) int {
+func fairShare(now time.Time, loans map[string]*loan, entry string, pool int) int {
 	var wants []int
 	for id, ln := range loans {
-		if id != entry && now.Sub(ln.seen) < Hold && ln.want > 0 {
-			wants = append(wants, ln.want)
+		if id != entry && now.Sub(ln.lastReport) < Hold && ln.wanted > 0 {
+			wants = append(wants, ln.wanted)
 		}
 	}
 	slices.Sort(wants)
--- a/schedule/answer.go
+++ b/schedule/answer.go
@@ -6,63 +6,63 @@
 
 // close answers a job.
 func (c *Core) close(j *job, out work.Outcome) {
-	if j.over {
+	if j.answered {
 		return
 	}
-	j.over = true
+	j.answered = true
 	c.dequeue(j)
-	c.noteEnd(j, out)
-	c.out.Outcomes = append(c.out.Outcomes, Ending{j.ID, out})
+	c.noteOutcome(j, out)
+	c.decisions.Outcomes = append(c.decisions.Outcomes, Ending{j.ID, out})
 	switch {
 	case j.Stored:
 		// The ledger remembers it.
 	case out.State == work.Completed, out.State == work.JobFailed:
-		c.remember(j.ID, out)
+		c.rememberOutcome(j.ID, out)
 	default:
-		c.rememberBegin(j)
+		c.rememberSent(j)
 	}
-	c.discard(j)
+	c.releaseJob(j)
 }
 
-// noteEnd tells how a job went, for the log.
-func (c *Core) noteEnd(j *job, out work.Outcome) {
-	if !j.sent {
+// noteOutcome tells how a job went, for the log.
+func (c *Core) noteOutcome(j *job, out work.Outcome) {
+	if !j.wasSent {
 		return // a rejection has a note of its own
 	}
-	c.note(Note{Job: j.ID, Agent: j.last.agent, What: "jobEnded", Why: string(out.State) + " " + out.Reason, Values: map[string]float64{
-		"firstStartMs": ms(j.first.Sub(j.begun)), "objectiveMs": ms(j.objective.Sub(j.begun)), "tasks": float64(j.Tasks()),
-		"lastWaitMs": ms(j.last.wait), "lastRunMs": ms(j.last.took), "lastExpectedMs": ms(j.last.expected), "repeated": float64(j.again),
+	c.addNote(Note{Job: j.ID, Agent: j.lastRun.agent, What: "jobEnded", Why: string(out.State) + " " + out.Reason, Values: map[string]float64{
+		"firstStartMs": ms(j.firstPlacedAt.Sub(j.receivedAt)), "objectiveMs": ms(j.objective.Sub(j.receivedAt)), "tasks": float64(j.Tasks()),
+		"lastWaitMs": ms(j.lastRun.wait), "lastRunMs": ms(j.lastRun.took), "lastExpectedMs": ms(j.lastRun.expected), "repeated": float64(j.requeues),
 	}})
 }
 
-// discard forgets a job that is answered once nothing of it runs.
-func (c *Core) discard(j *job) {
-	if j.over && j.running == 0 {
+// releaseJob forgets a job that is answered once nothing of it runs.
+func (c *Core) releaseJob(j *job) {
+	if j.answered && j.running == 0 {
 		delete(c.jobs, j.ID)
 		c.queued -= j.pending
 		j.pending = 0
 	}
 }
 
-func (c *Core) remember(id string, out work.Outcome) {
-	if len(c.endings) >= c.cfg.Remember {
-		delete(c.ended, c.endings[0])
-		c.endings = c.endings[1:]
+func (c *Core) rememberOutcome(id string, out work.Outcome) {
+	if len(c.outcomeOrder) >= c.cfg.Remember {
+		delete(c.outcomes, c.outcomeOrder[0])
+		c.outcomeOrder = c.outcomeOrder[1:]
 	}
-	c.ended[id] = out
-	c.endings = append(c.endings, id)
+	c.outcomes[id] = out
+	c.outcomeOrder = append(c.outcomeOrder, id)
 }
 
-// rememberBegin keeps in mind that something of a job may have run, so that it
+// rememberSent keeps in mind that something of a job may have run, so that it
 // is not said to have not run when its caller submits it again.
-func (c *Core) rememberBegin(j *job) {
-	if !j.sent || c.began[j.ID] {
+func (c *Core) rememberSent(j *job) {
+	if !j.wasSent || c.sentJobs[j.ID] {
 		return
 	}
-	if len(c.begins) >= c.cfg.Remember {
-		delete(c.began, c.begins[0])
-		c.begins = c.begins[1:]
+	if len(c.sentOrder) >= c.cfg.Remember {
+		delete(c.sentJobs, c.sentOrder[0])
+		c.sentOrder = c.sentOrder[1:]
 	}
-	c.began[j.ID] = true
-	c.begins = append(c.begins, j.ID)
+	c.sentJobs[j.ID] = true
+	c.sentOrder = append(c.sentOrder, j.ID)
 }
--- a/schedule/core.go
+++ b/schedule/core.go
@@ -52,30 +52,30 @@
 
 // Core is the state of a home. NewCore makes one.
 type Core struct {
-	cfg     Config
-	targets map[string]*target
-	names   []string // of targets, sorted, so that decisions do not depend on map order
-	jobs    map[string]*job
-	waiting []*job // with tasks to place, in the order in which they are served
-	queued  int    // tasks that wait
-	ended   map[string]work.Outcome
-	endings []string         // keys of ended, oldest first
-	began   map[string]bool  // jobs that were withdrawn after something of them was sent
-	begins  []string         // keys of began, oldest first
-	bias    map[string]*bias // by queue
-	settle  time.Time        // until then more workers are expected to come into contact
-	priors  time.Time        // when the means of the kinds of workers were computed
-	timed   []*job           // with occurrences whose time has not come
-	tenure  Tenure
-	epoch   uint64 // of the last tenure
-	out     Decisions
+	cfg            Config
+	targets        map[string]*target
+	agentNames     []string // of targets, sorted, so that decisions do not depend on map order
+	jobs           map[string]*job
+	waiting        []*job // with tasks to place, in the order in which they are served
+	queued         int    // tasks that wait
+	outcomes       map[string]work.Outcome
+	outcomeOrder   []string         // keys of ended, oldest first
+	sentJobs       map[string]bool  // jobs that were withdrawn after something of them was sent
+	sentOrder      []string         // keys of began, oldest first
+	biases         map[string]*bias // by queue
+	startupUntil   time.Time        // until then more workers are expected to come into contact
+	lastKindUpdate time.Time        // when the means of the kinds of workers were computed
+	timed          []*job           // with occurrences whose time has not come
+	tenure         Tenure
+	highestEpoch   uint64 // of the last tenure
+	decisions      Decisions
 }
 
 // NewCore returns a Core that knows no workers.
 func NewCore(cfg Config) *Core {
 	return &Core{
 		cfg: cfg, targets: make(map[string]*target), jobs: make(map[string]*job),
-		ended: make(map[string]work.Outcome), began: make(map[string]bool), bias: make(map[string]*bias),
+		outcomes: make(map[string]work.Outcome), sentJobs: make(map[string]bool), biases: make(map[string]*bias),
 	}
 }
 
@@ -106,12 +106,12 @@
 
 // Take returns what was decided since the last call.
 func (c *Core) Take() Decisions {
-	d := c.out
-	c.out = Decisions{}
+	d := c.decisions
+	c.decisions = Decisions{}
 	return d
 }
 
-func (c *Core) note(n Note) { c.out.Notes = append(c.out.Notes, n) }
+func (c *Core) addNote(n Note) { c.decisions.Notes = append(c.decisions.Notes, n) }
 
 // Load returns the tasks and jobs at set times that wait, and the tasks that run.
 func (c *Core) Load() (waiting, running int) {
@@ -125,7 +125,7 @@
 func (c *Core) Waiting() map[string]int {
 	counts := make(map[string]int)
 	for _, j := range c.waiting {
-		if !j.sent {
+		if !j.wasSent {
 			counts[j.Queue.Name]++
 		}
 	}
@@ -134,12 +134,12 @@
 
 // Submit takes a job. Its outcome follows with Take, maybe at once.
 func (c *Core) Submit(now time.Time, w work.Job, firstRun int) {
-	if out, ok := c.ended[w.ID]; ok {
-		c.out.Outcomes = append(c.out.Outcomes, Ending{w.ID, out})
+	if out, ok := c.outcomes[w.ID]; ok {
+		c.decisions.Outcomes = append(c.decisions.Outcomes, Ending{w.ID, out})
 		return
 	}
 	if j, ok := c.jobs[w.ID]; ok {
-		c.rejoin(now, j)
+		c.reattach(now, j)
 		return
 	}
 	j := newJob(now, w, firstRun)
@@ -149,53 +149,53 @@
 	}
 	c.jobs[w.ID] = j
 	c.unblock(now, j)
-	if why, retry := c.hopeless(now, j, c.power(now, w.Queue.Service), true); why != "" && why != reasonNoWorkers {
-		c.reject(now, j, why, retry)
+	if reason, retry := c.rejectReason(now, j, c.serviceCapacity(now, w.Queue.Service), true); reason != "" && reason != reasonNoWorkers {
+		c.reject(now, j, reason, retry)
 		return
 	}
 	c.enqueue(j)
-	c.place(now)
+	c.placeWaiting(now)
 }
 
-// rejoin lets a caller wait again for a job that had been withdrawn.
-func (c *Core) rejoin(now time.Time, j *job) {
+// reattach lets a caller wait again for a job that had been withdrawn.
+func (c *Core) reattach(now time.Time, j *job) {
 	if !j.withdrawn {
 		return
 	}
-	j.withdrawn, j.over = false, false
+	j.withdrawn, j.answered = false, false
 	c.enqueue(j)
-	c.place(now)
+	c.placeWaiting(now)
 }
 
 // Withdraw takes back a job for which nobody waits any more. Runs that have
 // long to go are stopped.
 func (c *Core) Withdraw(now time.Time, id string) {
 	j, ok := c.jobs[id]
-	if !ok || j.withdrawn || j.over {
+	if !ok || j.withdrawn || j.answered {
 		return
 	}
 	j.withdrawn = true
 	c.close(j, work.Outcome{State: work.Cancelled, Reason: "nobody waits for it"})
-	c.stopAll(now, j, withdrawnRest)
-	c.place(now)
+	c.stopAll(now, j, withdrawnGrace)
+	c.placeWaiting(now)
 }
 
-// withdrawnRest is the rest of a run that is let to its end although nobody
+// withdrawnGrace is the rest of a run that is let to its end although nobody
 // waits for it; a stop takes 50 ms of the worker's time by itself.
-const withdrawnRest = 60 * time.Millisecond
+const withdrawnGrace = 60 * time.Millisecond
 
 // Tick is called every few milliseconds while jobs wait, and at least a few
 // times in Config.Suspect.
 func (c *Core) Tick(now time.Time) {
-	if now.Sub(c.priors) > priorsEvery {
-		c.priors = now
-		c.updatePriors()
+	if now.Sub(c.lastKindUpdate) > kindUpdateInterval {
+		c.lastKindUpdate = now
+		c.updateKindSlowness()
 	}
-	c.loseAgents(now)
-	c.stopStalled(now)
+	c.expireAgents(now)
+	c.abandonOverdue(now)
 	c.expireSlowdowns(now)
-	c.startDue(now)
-	c.shed(now)
-	c.age(now)
-	c.place(now)
+	c.unblockTimed(now)
+	c.rejectHopeless(now)
+	c.demoteLate(now)
+	c.placeWaiting(now)
 }
--- a/schedule/end_test.go
+++ b/schedule/end_test.go
@@ -10,26 +10,26 @@
 )
 
 func TestTaskThatFailedIsTriedElsewhere(t *testing.T) {
-	d := newDesk(t)
-	d.agent("a", 1)
+	d := newHarness(t)
+	d.addAgent("a", 1)
 	d.submit(job("j", 0, 1, 60*time.Millisecond))
-	d.agent("b", 1)
-	d.end("a", d.starts["a"][0], work.Failed, time.Millisecond)
+	d.addAgent("b", 1)
+	d.endRun("a", d.starts["a"][0], work.Failed, time.Millisecond)
 	d.wantStarts("b", 1)
 	if r := d.starts["b"][0]; r.Number != 2 {
 		t.Errorf("run number %d", r.Number)
 	}
-	d.end("b", d.starts["b"][0], work.Failed, time.Millisecond)
+	d.endRun("b", d.starts["b"][0], work.Failed, time.Millisecond)
 	d.wantOutcome("j", work.JobFailed)
 }
 
 func TestRunThatWasRefusedIsNoAttempt(t *testing.T) {
-	d := newDesk(t)
-	d.agent("a", 1)
+	d := newHarness(t)
+	d.addAgent("a", 1)
 	d.submit(job("j", 0, 1, 60*time.Millisecond))
 	for i := range 5 {
 		d.report("a", schedule.Event{Run: d.starts["a"][i], End: work.Refused, Reason: "noRoom"})
-		d.pass(50 * time.Millisecond)
+		d.advance(50 * time.Millisecond)
 	}
 	d.wantOutcome("j", "")
 	d.wantStarts("a", 6)
@@ -37,60 +37,60 @@
 
 // TestLostAgentsRunsStartAgainAfterTheLeases: not before both leases are over.
 func TestLostAgentsRunsStartAgainAfterTheLeases(t *testing.T) {
-	d := newDesk(t)
-	d.agent("a", 1)
+	d := newHarness(t)
+	d.addAgent("a", 1)
 	j := job("j", 0, 1, 900*time.Millisecond)
 	d.submit(j)
-	d.agent("b", 1)
-	d.pass(cfg.Lost, "a")
+	d.addAgent("b", 1)
+	d.advance(cfg.Lost, "a")
 	d.wantStarts("b", 0)
-	d.pass(20*time.Millisecond, "a")
+	d.advance(20*time.Millisecond, "a")
 	d.wantStarts("b", 1)
 }
 
 func TestStalledRunIsStoppedAndTriedElsewhere(t *testing.T) {
-	d := newDesk(t)
-	d.agent("a", 1)
+	d := newHarness(t)
+	d.addAgent("a", 1)
 	d.submit(job("j", 0, 1, 60*time.Millisecond))
-	d.agent("b", 1)
+	d.addAgent("b", 1)
 	d.c.Report(d.now, "a", &schedule.Report{Life: "1", Target: d.agents["a"], Ready: true, Settled: true, Idle: d.starts["a"]})
-	d.take()
+	d.collect()
 	if len(d.stops["a"]) != 1 {
 		t.Fatalf("stops %v", d.stops)
 	}
 	d.wantStarts("b", 0)
-	d.end("a", d.starts["a"][0], work.Stopped, 400*time.Millisecond)
+	d.endRun("a", d.starts["a"][0], work.Stopped, 400*time.Millisecond)
 	d.wantStarts("b", 1)
 }
 
 // TestSlowRunIsGivenUpInTheEnd: far beyond what a wrong estimate explains.
 func TestSlowRunIsGivenUpInTheEnd(t *testing.T) {
-	d := newDesk(t)
-	d.agent("a", 1)
+	d := newHarness(t)
+	d.addAgent("a", 1)
 	d.submit(job("j", 0, 1, 100*time.Millisecond))
-	d.pass(800 * time.Millisecond)
+	d.advance(800 * time.Millisecond)
 	if len(d.stops["a"]) != 0 {
 		t.Fatal("given up although the estimate may be wrong by that much")
 	}
-	d.pass(450 * time.Millisecond)
+	d.advance(450 * time.Millisecond)
 	if len(d.stops["a"]) != 1 {
 		t.Errorf("stops %v", d.stops)
 	}
 }
 
-func TestWorkerThatFailsAllIsLeftAlone(t *testing.T) {
-	d := newDesk(t)
-	d.agent("a", 1)
-	d.agent("b", 8)
+func TestWorkerWithConsecutiveFailuresIsQuarantined(t *testing.T) {
+	d := newHarness(t)
+	d.addAgent("a", 1)
+	d.addAgent("b", 8)
 	for i := range 2 {
 		j := job("j"+strconv.Itoa(i), 0, 1, 60*time.Millisecond)
 		j.Steps[0].Label = ""
 		d.c.Submit(d.now, j, 0)
-		d.take()
+		d.collect()
 		for _, a := range []string{"a", "b"} {
 			for _, r := range d.starts[a] {
 				if r.Task.Job == j.ID && r.Number == 1 {
-					d.end(a, r, work.Failed, time.Millisecond)
+					d.endRun(a, r, work.Failed, time.Millisecond)
 				}
 			}
 		}
--- a/schedule/desk_test.go
+++ b/schedule/harness_test.go
@@ -14,58 +14,58 @@
 	Far: 3, Remember: 100, MaxQueued: 1000,
 }
 
-// desk plays the agents and the entries around a Core.
-type desk struct {
-	t      *testing.T
-	c      *schedule.Core
-	now    time.Time
-	seq    map[string]uint64
-	starts map[string][]work.Run
-	stops  map[string][]work.Run
-	ends   map[string]work.Outcome
-	agents map[string]work.Target
+// harness plays the agents and the entries around a Core.
+type harness struct {
+	t        *testing.T
+	c        *schedule.Core
+	now      time.Time
+	seq      map[string]uint64
+	starts   map[string][]work.Run
+	stops    map[string][]work.Run
+	outcomes map[string]work.Outcome
+	agents   map[string]work.Target
 }
 
-func newDesk(t *testing.T) *desk {
-	return &desk{
+func newHarness(t *testing.T) *harness {
+	return &harness{
 		t: t, c: schedule.NewCore(cfg), now: time.Unix(1000, 0), seq: make(map[string]uint64),
 		starts: make(map[string][]work.Run), stops: make(map[string][]work.Run),
-		ends: make(map[string]work.Outcome), agents: make(map[string]work.Target),
+		outcomes: make(map[string]work.Outcome), agents: make(map[string]work.Target),
 	}
 }
 
-// agent adds an agent whose worker has room for some tasks of ten thousandths.
-func (d *desk) agent(name string, room int, labels ...string) {
+// addAgent adds an agent whose worker has room for some tasks of ten thousandths.
+func (d *harness) addAgent(name string, room int, labels ...string) {
 	d.agents[name] = work.Target{ID: "w-" + name, Born: 1, Service: "s", Labels: labels, Capacity: work.Room{CPU: 10 * room}}
 	d.report(name)
 }
 
-func (d *desk) report(name string, events ...schedule.Event) {
+func (d *harness) report(name string, events ...schedule.Event) {
 	for i := range events {
 		d.seq[name]++
 		events[i].Seq = d.seq[name]
 	}
 	d.c.Report(d.now, name, &schedule.Report{Life: "1", Target: d.agents[name], Ready: true, Settled: true, Events: events})
-	d.take()
+	d.collect()
 }
 
-func (d *desk) take() {
-	acts := d.c.Take()
-	for a, starts := range acts.Starts {
+func (d *harness) collect() {
+	decisions := d.c.Take()
+	for a, starts := range decisions.Starts {
 		for _, s := range starts {
 			d.starts[a] = append(d.starts[a], s.Run)
 		}
 	}
-	for a, runs := range acts.Stops {
+	for a, runs := range decisions.Stops {
 		d.stops[a] = append(d.stops[a], runs...)
 	}
-	for _, e := range acts.Outcomes {
-		d.ends[e.Job] = e.Outcome
+	for _, e := range decisions.Outcomes {
+		d.outcomes[e.Job] = e.Outcome
 	}
 }
 
-// pass lets time go on while all agents stay in contact.
-func (d *desk) pass(span time.Duration, silent ...string) {
+// advance lets time go on while all agents stay in contact.
+func (d *harness) advance(span time.Duration, silent ...string) {
 	for end := d.now.Add(span); d.now.Before(end); {
 		d.now = d.now.Add(10 * time.Millisecond)
 		for name := range d.agents {
@@ -74,7 +74,7 @@
 			}
 		}
 		d.c.Tick(d.now)
-		d.take()
+		d.collect()
 	}
 }
 
@@ -86,39 +86,39 @@
 	}
 }
 
-func (d *desk) submit(j work.Job) {
+func (d *harness) submit(j work.Job) {
 	d.c.Submit(d.now, j, 0)
-	d.take()
+	d.collect()
 }
 
-func (d *desk) end(agent string, r work.Run, how work.End, took time.Duration) {
-	d.report(agent, schedule.Event{Run: r, End: how, Took: took})
+func (d *harness) endRun(agent string, r work.Run, end work.End, took time.Duration) {
+	d.report(agent, schedule.Event{Run: r, End: end, Took: took})
 }
 
-func (d *desk) wantOutcome(id string, want work.State) {
+func (d *harness) wantOutcome(id string, want work.State) {
 	d.t.Helper()
-	if got := d.ends[id].State; got != want {
-		d.t.Errorf("job %s ended as %q (%s), want %q", id, got, d.ends[id].Reason, want)
+	if got := d.outcomes[id].State; got != want {
+		d.t.Errorf("job %s ended as %q (%s), want %q", id, got, d.outcomes[id].Reason, want)
 	}
 }
 
-func (d *desk) wantStarts(agent string, want int) {
+func (d *harness) wantStarts(agent string, want int) {
 	d.t.Helper()
 	if got := len(d.starts[agent]); got != want {
 		d.t.Errorf("%d starts at %s, want %d", got, agent, want)
 	}
 }
 
-// teach lets a worker of slowness x run tasks until its speed is known.
-func (d *desk) teach(agent string, x float64) {
+// teachSlowness lets a worker of slowness x run tasks until its speed is known.
+func (d *harness) teachSlowness(agent string, x float64) {
 	est := 100 * time.Millisecond
 	d.c.Submit(d.now, job("teach-"+agent, 0, 1, est), 0)
 	for i := range 60 {
-		d.take()
+		d.collect()
 		r := d.starts[agent][len(d.starts[agent])-1]
-		d.end(agent, r, work.Done, time.Duration(float64(est)*x))
+		d.endRun(agent, r, work.Done, time.Duration(float64(est)*x))
 		d.c.Submit(d.now, job("teach-"+agent+strconv.Itoa(i), 0, 1, est), 0)
 	}
-	d.take()
-	d.end(agent, d.starts[agent][len(d.starts[agent])-1], work.Done, est)
+	d.collect()
+	d.endRun(agent, d.starts[agent][len(d.starts[agent])-1], work.Done, est)
 }
--- a/schedule/job.go
+++ b/schedule/job.go
@@ -9,27 +9,27 @@
 // job is a job that has not been answered, or of which something still runs.
 type job struct {
 	work.Job
-	begun     time.Time // when the system got it
-	objective time.Time
-	cutoff    time.Time // after it an answer is of no use
-	tasks     [][]task  // by slot
-	left      []int     // by slot: tasks that are not done
-	pending   int       // tasks to place, of steps whose turn has come
-	running   int
-	leastCPU  int             // of any task, in thousandths of a core
-	sent      bool            // something of it was sent to an agent
-	withdrawn bool            // nobody waits for it
-	over      bool            // it has been answered
-	late      bool            // it can no longer be in time, and has to be done all the same
-	waits     bool            // it is in Core.waiting
-	avoid     map[string]bool // agents where a run failed or stalled
-	first     time.Time       // first placement
-	again     int             // runs that had to be repeated
-	last      lastRun         // the run that ended last
+	receivedAt     time.Time // when the system got it
+	objective      time.Time
+	cutoff         time.Time // after it an answer is of no use
+	tasks          [][]task  // by slot
+	unfinished     []int     // by slot: tasks that are not done
+	pending        int       // tasks to place, of steps whose turn has come
+	running        int
+	minCPU         int             // of any task, in thousandths of a core
+	wasSent        bool            // something of it was sent to an agent
+	withdrawn      bool            // nobody waits for it
+	answered       bool            // it has been answered
+	missesDeadline bool            // it can no longer be in time, and has to be done all the same
+	isWaiting      bool            // it is in Core.waiting
+	avoid          map[string]bool // agents where a run failed or stalled
+	firstPlacedAt  time.Time       // first placement
+	requeues       int             // runs that had to be repeated
+	lastRun        runTimes        // the run that ended last
 }
 
-// lastRun tells what a job waited for in the end.
-type lastRun struct {
+// runTimes tells what a job waited for in the end.
+type runTimes struct {
 	agent    string
 	wait     time.Duration // from the job's begin to the placement
 	took     time.Duration
@@ -46,52 +46,52 @@
 )
 
 type task struct {
-	state    taskState
-	run      int    // number of the last run
-	saved    string // checkpoint to resume from; empty for none
-	failures int
-	agent    string
-	began    time.Time
-	expected time.Duration
-	slowdown float64 // of the worker when the task was placed
-	stopping bool
+	state      taskState
+	runNumber  int    // number of the last run
+	checkpoint string // checkpoint to resume from; empty for none
+	failures   int
+	agent      string
+	startedAt  time.Time
+	expected   time.Duration
+	slowdown   float64 // of the worker when the task was placed
+	stopping   bool
 }
 
 func newJob(now time.Time, w work.Job, firstRun int) *job {
-	j := &job{Job: w, begun: now.Add(-w.Age), tasks: make([][]task, w.Slots()), left: make([]int, w.Slots())}
-	j.objective = j.begun.Add(w.Queue.Objective(w.Chain()))
-	j.leastCPU = w.Steps[0].Room.CPU
+	j := &job{Job: w, receivedAt: now.Add(-w.Age), tasks: make([][]task, w.Slots()), unfinished: make([]int, w.Slots())}
+	j.objective = j.receivedAt.Add(w.Queue.Objective(w.Chain()))
+	j.minCPU = w.Steps[0].Room.CPU
 	for i := range j.tasks {
-		j.leastCPU = min(j.leastCPU, w.Step(i).Room.CPU)
+		j.minCPU = min(j.minCPU, w.Step(i).Room.CPU)
 		j.tasks[i] = make([]task, w.Step(i).Count)
-		j.left[i] = w.Step(i).Count
+		j.unfinished[i] = w.Step(i).Count
 		for k := range j.tasks[i] {
-			j.tasks[i][k].run = firstRun
+			j.tasks[i][k].runNumber = firstRun
 		}
 	}
 	return j
 }
 
-// turn reports whether all steps before that of slot i are done.
-func (j *job) turn(i int) bool {
+// stepReady reports whether all steps before that of slot i are done.
+func (j *job) stepReady(i int) bool {
 	first := i - i%len(j.Steps) // slot of the occurrence
 	for _, before := range j.Step(i).After {
-		if j.left[first+before] > 0 {
+		if j.unfinished[first+before] > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// ref returns the last run of a task.
-func (j *job) ref(step, index int) work.Run {
-	return work.Run{Task: j.Ref(step, index), Number: j.tasks[step][index].run}
+// currentRun returns the last run of a task.
+func (j *job) currentRun(slot, index int) work.Run {
+	return work.Run{Task: j.Ref(slot, index), Number: j.tasks[slot][index].runNumber}
 }
 
 // cutoff returns the time after which the end of a job is of no use to its
 // caller, if that waits.
 func (c *Core) cutoff(j *job) time.Time {
-	return j.begun.Add(time.Duration(float64(j.Queue.Objective(j.Chain())) * c.cfg.Late))
+	return j.receivedAt.Add(time.Duration(float64(j.Queue.Objective(j.Chain())) * c.cfg.Late))
 }
 
 // unblock makes the tasks pending whose time has come and whose earlier steps are
@@ -101,7 +101,7 @@
 		if now.Before(j.Due(i)) {
 			break
 		}
-		if !j.turn(i) {
+		if !j.stepReady(i) {
 			continue
 		}
 		for k := range j.tasks[i] {
--- a/schedule/place.go
+++ b/schedule/place.go
@@ -9,19 +9,19 @@
 
 // enqueue puts a job with tasks to place among those that wait.
 func (c *Core) enqueue(j *job) {
-	if j.waits || j.over || j.pending == 0 {
+	if j.isWaiting || j.answered || j.pending == 0 {
 		return
 	}
-	j.waits = true
-	i, _ := slices.BinarySearchFunc(c.waiting, j, before)
+	j.isWaiting = true
+	i, _ := slices.BinarySearchFunc(c.waiting, j, compareJobs)
 	c.waiting = slices.Insert(c.waiting, i, j)
 }
 
-// before orders jobs: those that can be in time first, by priority, then by the objective, then by name.
-func before(a, b *job) int {
+// compareJobs orders jobs: those that can be in time first, by priority, then by the objective, then by name.
+func compareJobs(a, b *job) int {
 	switch {
-	case a.late != b.late:
-		if a.late {
+	case a.missesDeadline != b.missesDeadline:
+		if a.missesDeadline {
 			return 1
 		}
 		return -1
@@ -37,61 +37,61 @@
 }
 
 func (c *Core) dequeue(j *job) {
-	if !j.waits {
+	if !j.isWaiting {
 		return
 	}
-	j.waits = false
+	j.isWaiting = false
 	c.waiting = slices.DeleteFunc(c.waiting, func(o *job) bool { return o == j })
 }
 
-// place gives waiting tasks to workers with room.
-func (c *Core) place(now time.Time) {
-	open := c.open(now)
+// placeWaiting gives waiting tasks to workers with room.
+func (c *Core) placeWaiting(now time.Time) {
+	open := c.openTargets(now)
 	if len(open) == 0 {
 		return
 	}
-	most := mostFree(open)
-	tenured := c.tenured(now)
+	most := maxFreeCPU(open)
+	tenured := c.mayPlaceStored(now)
 	for i := 0; i < len(c.waiting); i++ {
 		j := c.waiting[i]
-		if j.leastCPU > most || j.Stored && !tenured {
+		if j.minCPU > most || j.Stored && !tenured {
 			continue
 		}
 		if c.placeJob(now, j, open) {
-			most = mostFree(open)
+			most = maxFreeCPU(open)
 		}
 		if j.pending == 0 {
-			j.waits = false
+			j.isWaiting = false
 			c.waiting = slices.Delete(c.waiting, i, i+1)
 			i--
 		}
 	}
 }
 
-// open returns the workers that take starts.
-func (c *Core) open(now time.Time) []*target {
+// openTargets returns the workers that take starts.
+func (c *Core) openTargets(now time.Time) []*target {
 	var open []*target
-	for _, name := range c.names {
+	for _, name := range c.agentNames {
 		t := c.targets[name]
-		if c.usable(now, t) && now.After(t.resume) {
+		if c.isUsable(now, t) && now.After(t.backoffUntil) {
 			open = append(open, t)
 		}
 	}
 	return open
 }
 
-// usable reports whether a worker is in contact and serves.
-func (c *Core) usable(now time.Time, t *target) bool {
+// isUsable reports whether a worker is in contact and serves.
+func (c *Core) isUsable(now time.Time, t *target) bool {
 	silence := max(c.cfg.Suspect, c.cfg.SuspectIdle)
 	if len(t.runs) > 0 {
 		silence = c.cfg.Suspect
 	}
-	return t.ready && !t.Draining && now.Sub(t.heard) <= silence
+	return t.ready && !t.Draining && now.Sub(t.lastContact) <= silence
 }
 
-// mostFree returns the largest free processor room of any worker, so that jobs
+// maxFreeCPU returns the largest free processor room of any worker, so that jobs
 // that can not fit anywhere are passed over quickly under load.
-func mostFree(open []*target) int {
+func maxFreeCPU(open []*target) int {
 	most := 0
 	for _, t := range open {
 		most = max(most, t.free().CPU)
@@ -111,66 +111,66 @@
 			if j.tasks[i][k].state != pending {
 				continue
 			}
-			t := c.choose(now, j, i, open)
+			t := c.chooseTarget(now, j, i, open)
 			if t == nil {
 				break
 			}
-			c.assign(now, t, j, i, k, j.tasks[i][k].run+1)
+			c.startRun(now, t, j, i, k, j.tasks[i][k].runNumber+1)
 		}
 	}
 	return j.pending < before
 }
 
 // placeGang places all tasks of a step under one run number, or none.
-func (c *Core) placeGang(now time.Time, j *job, step int, open []*target) {
+func (c *Core) placeGang(now time.Time, j *job, slot int, open []*target) {
 	number := 0
-	for k := range j.tasks[step] {
-		if j.tasks[step][k].state != pending {
+	for k := range j.tasks[slot] {
+		if j.tasks[slot][k].state != pending {
 			return
 		}
-		number = max(number, j.tasks[step][k].run+1)
+		number = max(number, j.tasks[slot][k].runNumber+1)
 	}
-	chosen := make([]*target, 0, len(j.tasks[step]))
-	for range j.tasks[step] {
-		t := c.choose(now, j, step, open)
+	chosen := make([]*target, 0, len(j.tasks[slot]))
+	for range j.tasks[slot] {
+		t := c.chooseTarget(now, j, slot, open)
 		if t == nil {
 			break
 		}
-		t.used = t.used.Add(j.Step(step).Room)
+		t.used = t.used.Add(j.Step(slot).Room)
 		chosen = append(chosen, t)
 	}
 	for _, t := range chosen {
-		t.used = t.used.Sub(j.Step(step).Room)
+		t.used = t.used.Sub(j.Step(slot).Room)
 	}
-	if len(chosen) < len(j.tasks[step]) {
+	if len(chosen) < len(j.tasks[slot]) {
 		return
 	}
 	for k, t := range chosen {
-		c.assign(now, t, j, step, k, number)
+		c.startRun(now, t, j, slot, k, number)
 	}
 }
 
-// choose returns the slowest worker with room that still meets the objective.
+// chooseTarget returns the slowest worker with room that still meets the objective.
 // If only workers without room do, it returns nil: the task waits for one of
 // them as long as that can still be in time. Else it returns the fastest one
 // with room.
-func (c *Core) choose(now time.Time, j *job, step int, open []*target) *target {
-	st := j.Step(step)
-	nominal := c.expect(j, step)
+func (c *Core) chooseTarget(now time.Time, j *job, slot int, open []*target) *target {
+	step := j.Step(slot)
+	nominal := c.expectedTime(j, slot)
 	var meets, fastest *target
 	var meetsTime, fastestTime time.Duration
 	worthWaiting := false
 	for _, t := range open {
-		if !c.suits(j, step, t) {
+		if !c.isEligible(j, slot, t) {
 			continue
 		}
-		took := time.Duration(float64(nominal) * t.slowness() * c.distance(st, t))
-		inTime := c.meets(now, j, took)
-		if !t.free().Holds(st.Room) {
+		took := time.Duration(float64(nominal) * t.slowness() * c.distanceFactor(step, t))
+		inTime := c.meetsObjective(now, j, took)
+		if !t.free().Holds(step.Room) {
 			worthWaiting = worthWaiting || inTime
 			continue
 		}
-		if inTime && (meets == nil || better(took, t, meetsTime, meets)) {
+		if inTime && (meets == nil || isBetter(took, t, meetsTime, meets)) {
 			meets, meetsTime = t, took
 		}
 		if fastest == nil || took < fastestTime {
@@ -186,68 +186,68 @@
 // The real work of a task may be this many times its estimate; the objective
 // follows the real work, too.
 const (
-	leastWork = 0.5
-	mostWork  = 2.0
+	minWorkFactor = 0.5
+	maxWorkFactor = 2.0
 )
 
-// meets reports whether a task that is placed now on a worker where it is
+// meetsObjective reports whether a task that is placed now on a worker where it is
 // expected to take a time would meet the job's objective, be its real work
 // smaller or larger than estimated.
-func (c *Core) meets(now time.Time, j *job, took time.Duration) bool {
-	gone := now.Sub(j.begun) + c.cfg.Margin
-	gain := float64(j.objective.Sub(j.begun)-j.Queue.Target) - float64(took)
-	fixed := float64(j.Queue.Target - gone)
-	return fixed+leastWork*gain >= 0 && fixed+mostWork*gain >= 0
+func (c *Core) meetsObjective(now time.Time, j *job, took time.Duration) bool {
+	elapsed := now.Sub(j.receivedAt) + c.cfg.Margin
+	gain := float64(j.objective.Sub(j.receivedAt)-j.Queue.Target) - float64(took)
+	fixed := float64(j.Queue.Target - elapsed)
+	return fixed+minWorkFactor*gain >= 0 && fixed+maxWorkFactor*gain >= 0
 }
 
-// better prefers the clearly slower worker, then the one with more room.
-func better(took time.Duration, t *target, bestTook time.Duration, best *target) bool {
-	if diff := took - bestTook; diff > bestTook/similarSpeed || -diff > bestTook/similarSpeed {
+// isBetter prefers the clearly slower worker, then the one with more room.
+func isBetter(took time.Duration, t *target, bestTook time.Duration, best *target) bool {
+	if diff := took - bestTook; diff > bestTook/similarSpeedDivisor || -diff > bestTook/similarSpeedDivisor {
 		return took > bestTook
 	}
 	return t.free().CPU > best.free().CPU
 }
 
-// similarSpeed is the part of a run time below which two workers count as
+// similarSpeedDivisor is the part of a run time below which two workers count as
 // equally fast: a fifth, since estimates are far less exact.
-const similarSpeed = 5
+const similarSpeedDivisor = 5
 
-// distance returns how many times as long a task takes on a worker as it would
+// distanceFactor returns how many times as long a task takes on a worker as it would
 // near its data.
-func (c *Core) distance(st *work.Step, t *target) float64 {
-	if st.Affinity != "" && !slices.Contains(t.Labels, st.Affinity) {
+func (c *Core) distanceFactor(step *work.Step, t *target) float64 {
+	if step.Affinity != "" && !slices.Contains(t.Labels, step.Affinity) {
 		return max(c.cfg.Far, 1)
 	}
 	return 1
 }
 
-// suits reports whether a worker may run tasks of a step.
-func (c *Core) suits(j *job, step int, t *target) bool {
-	st := j.Step(step)
-	if j.Stored && !c.obeys(t) {
+// isEligible reports whether a worker may run tasks of a step.
+func (c *Core) isEligible(j *job, slot int, t *target) bool {
+	step := j.Step(slot)
+	if j.Stored && !c.tenureConfirmedBy(t) {
 		return false
 	}
-	if t.Service != j.Queue.Service || j.avoid[t.agent] && c.alternative(j, t) {
+	if t.Service != j.Queue.Service || j.avoid[t.agent] && c.hasAlternative(j, t) {
 		return false
 	}
-	if st.Label != "" && !slices.Contains(t.Labels, st.Label) {
+	if step.Label != "" && !slices.Contains(t.Labels, step.Label) {
 		return false
 	}
-	if st.MaxPerOne == 0 {
+	if step.MaxPerOne == 0 {
 		return true
 	}
 	n := 0
 	for ref := range t.runs {
-		if ref.Job == j.ID && j.Slot(ref) == step {
+		if ref.Job == j.ID && j.Slot(ref) == slot {
 			n++
 		}
 	}
-	return n < st.MaxPerOne
+	return n < step.MaxPerOne
 }
 
-// alternative reports whether some worker of the service is not avoided.
-func (c *Core) alternative(j *job, not *target) bool {
-	for _, name := range c.names {
+// hasAlternative reports whether some worker of the service is not avoided.
+func (c *Core) hasAlternative(j *job, not *target) bool {
+	for _, name := range c.agentNames {
 		t := c.targets[name]
 		if t != not && t.ready && !t.Draining && t.Service == j.Queue.Service && !j.avoid[name] {
 			return true
@@ -256,37 +256,37 @@
 	return false
 }
 
-// assign starts a run of a task.
-func (c *Core) assign(now time.Time, t *target, j *job, step, index, number int) {
-	run := j.ref(step, index)
+// startRun starts a run of a task.
+func (c *Core) startRun(now time.Time, t *target, j *job, slot, index, number int) {
+	run := j.currentRun(slot, index)
 	run.Number = number
-	tk := c.put(now, t, j, run)
-	st := j.Step(step)
-	if c.out.Starts == nil {
-		c.out.Starts = make(map[string][]work.Start)
+	tk := c.placeRun(now, t, j, run)
+	step := j.Step(slot)
+	if c.decisions.Starts == nil {
+		c.decisions.Starts = make(map[string][]work.Start)
 	}
-	here, expected := time.Duration(float64(st.Estimate)*c.distance(st, t)), tk.expected
+	here, expected := time.Duration(float64(step.Estimate)*c.distanceFactor(step, t)), tk.expected
 	if j.Lasts {
 		here, expected = 0, 0
 	}
-	c.out.Starts[t.agent] = append(c.out.Starts[t.agent], work.Start{Run: run, Spec: j.Spec, Room: st.Room, Estimate: here, Expected: expected, Trace: j.Trace, Stored: j.Stored, Checkpoint: tk.saved})
+	c.decisions.Starts[t.agent] = append(c.decisions.Starts[t.agent], work.Start{Run: run, Spec: j.Spec, Room: step.Room, Estimate: here, Expected: expected, Trace: j.Trace, Stored: j.Stored, Checkpoint: tk.checkpoint})
 }
 
-// put notes that a run of a pending task is at a worker since began.
-func (c *Core) put(began time.Time, t *target, j *job, run work.Run) *task {
-	step := j.Slot(run.Task)
-	st := j.Step(step)
-	tk := &j.tasks[step][run.Task.Index]
-	tk.state, tk.run, tk.agent, tk.began = placed, run.Number, t.agent, began
+// placeRun notes that a run of a pending task is at a worker since began.
+func (c *Core) placeRun(began time.Time, t *target, j *job, run work.Run) *task {
+	slot := j.Slot(run.Task)
+	step := j.Step(slot)
+	tk := &j.tasks[slot][run.Task.Index]
+	tk.state, tk.runNumber, tk.agent, tk.startedAt = placed, run.Number, t.agent, began
 	tk.slowdown = t.slowdown
-	tk.expected = time.Duration(float64(c.expect(j, step)) * t.slowness() * c.distance(st, t))
+	tk.expected = time.Duration(float64(c.expectedTime(j, slot)) * t.slowness() * c.distanceFactor(step, t))
 	j.pending--
 	c.queued--
 	j.running++
-	if !j.sent {
-		j.sent, j.first = true, began
+	if !j.wasSent {
+		j.wasSent, j.firstPlacedAt = true, began
 	}
 	t.runs[run.Task] = run
-	t.used = t.used.Add(st.Room)
+	t.used = t.used.Add(step.Room)
 	return tk
 }
--- a/schedule/place_test.go
+++ b/schedule/place_test.go
@@ -9,22 +9,22 @@
 )
 
 func TestUrgentQueueGoesFirst(t *testing.T) {
-	d := newDesk(t)
-	d.agent("a", 1)
+	d := newHarness(t)
+	d.addAgent("a", 1)
 	d.submit(job("busy", 0, 1, 60*time.Millisecond))
 	d.submit(job("later", 2, 1, 60*time.Millisecond))
 	d.submit(job("urgent", 0, 1, 60*time.Millisecond))
-	d.end("a", d.starts["a"][0], work.Done, 60*time.Millisecond)
+	d.endRun("a", d.starts["a"][0], work.Done, 60*time.Millisecond)
 	if got := d.starts["a"][1].Task.Job; got != "urgent" {
 		t.Errorf("%s was started first", got)
 	}
 }
 
 func TestLongTasksGetTheFastWorkerAndShortOnesTheSlow(t *testing.T) {
-	d := newDesk(t)
-	d.agent("slow", 4, "a")
-	d.teach("slow", 2)
-	d.agent("fast", 4, "b")
+	d := newHarness(t)
+	d.addAgent("slow", 4, "a")
+	d.teachSlowness("slow", 2)
+	d.addAgent("fast", 4, "b")
 	d.starts = make(map[string][]work.Run)
 	d.submit(job("short", 0, 1, 60*time.Millisecond)) // 120 ms on the slow one, in time for 156 ms
 	d.wantStarts("slow", 1)
@@ -32,11 +32,11 @@
 	d.wantStarts("fast", 1)
 }
 
-func TestSilentAgentGetsNothingNew(t *testing.T) {
-	d := newDesk(t)
-	d.agent("a", 4)
-	d.agent("b", 4)
-	d.pass(cfg.Suspect+20*time.Millisecond, "a")
+func TestAgentOutOfContactGetsNoNewTasks(t *testing.T) {
+	d := newHarness(t)
+	d.addAgent("a", 4)
+	d.addAgent("b", 4)
+	d.advance(cfg.Suspect+20*time.Millisecond, "a")
 	d.submit(job("j", 0, 4, 60*time.Millisecond))
 	d.wantStarts("a", 0)
 	d.wantStarts("b", 4)
@@ -44,37 +44,37 @@
 
 // TestLongTaskWaitsForAFastWorker: a slow one with room could not be in time.
 func TestLongTaskWaitsForAFastWorker(t *testing.T) {
-	d := newDesk(t)
-	d.agent("slow", 4, "a")
-	d.teach("slow", 2.2)
-	d.agent("fast", 1, "b")
+	d := newHarness(t)
+	d.addAgent("slow", 4, "a")
+	d.teachSlowness("slow", 2.2)
+	d.addAgent("fast", 1, "b")
 	d.starts = make(map[string][]work.Run)
 	d.submit(job("first", 0, 1, 900*time.Millisecond))
 	d.submit(job("second", 0, 1, 900*time.Millisecond))
 	d.wantStarts("slow", 0)
 	d.wantStarts("fast", 1)
-	d.pass(200 * time.Millisecond)
-	d.end("fast", d.starts["fast"][0], work.Done, 200*time.Millisecond)
+	d.advance(200 * time.Millisecond)
+	d.endRun("fast", d.starts["fast"][0], work.Done, 200*time.Millisecond)
 	d.wantStarts("fast", 2)
 }
 
 func TestGangStartsWholeOrNotAtAll(t *testing.T) {
-	d := newDesk(t)
-	d.agent("a", 2)
+	d := newHarness(t)
+	d.addAgent("a", 2)
 	j := job("j", 0, 3, 60*time.Millisecond)
 	j.Steps[0].Gang = true
 	d.submit(j)
 	d.wantStarts("a", 0)
-	d.agent("b", 2)
+	d.addAgent("b", 2)
 	if n := len(d.starts["a"]) + len(d.starts["b"]); n != 3 {
 		t.Errorf("%d starts, want 3", n)
 	}
 }
 
 func TestLabelAndMostOnOneWorkerAreKept(t *testing.T) {
-	d := newDesk(t)
-	d.agent("a", 4, "x")
-	d.agent("b", 4, "y")
+	d := newHarness(t)
+	d.addAgent("a", 4, "x")
+	d.addAgent("b", 4, "y")
 	j := job("j", 0, 4, 60*time.Millisecond)
 	j.Steps[0].Label, j.Steps[0].MaxPerOne = "x", 2
 	d.submit(j)
@@ -86,9 +86,9 @@
 // They wait for workers of that rack while they can be in time there, and what
 // runs elsewhere does not make a worker count as slow.
 func TestManyJobsOfOneRack(t *testing.T) {
-	d := newDesk(t)
-	d.agent("near", 1, "a", "r1")
-	d.agent("far", 8, "a", "r2")
+	d := newHarness(t)
+	d.addAgent("near", 1, "a", "r1")
+	d.addAgent("far", 8, "a", "r2")
 	near := func(id string, est time.Duration) work.Job {
 		j := job(id, 0, 1, est)
 		j.Steps[0].Affinity = "r1"
@@ -98,15 +98,15 @@
 	d.submit(near("second", 300*time.Millisecond))
 	d.wantStarts("near", 1)
 	d.wantStarts("far", 0)
-	d.pass(100 * time.Millisecond)
-	d.end("near", d.starts["near"][0], work.Done, 100*time.Millisecond)
+	d.advance(100 * time.Millisecond)
+	d.endRun("near", d.starts["near"][0], work.Done, 100*time.Millisecond)
 	d.wantStarts("near", 2)
 
 	for i := range 60 {
 		j := job("far"+strconv.Itoa(i), 0, 1, 100*time.Millisecond)
 		j.Steps[0].Affinity, j.Steps[0].Label = "r1", "r2"
 		d.submit(j)
-		d.end("far", d.starts["far"][i], work.Done, 300*time.Millisecond)
+		d.endRun("far", d.starts["far"][i], work.Done, 300*time.Millisecond)
 	}
 	before := len(d.starts["far"])
 	d.submit(job("any", 0, 1, 100*time.Millisecond))
--- a/schedule/report.go
+++ b/schedule/report.go
@@ -45,47 +45,47 @@
 	}
 }
 
-// settleTime is how long after a worker came into contact more are expected.
+// startupTime is how long after a worker came into contact more are expected.
 // Until then no job is turned away for the work that waits before it.
-const settleTime = 400 * time.Millisecond
+const startupTime = 400 * time.Millisecond
 
 // Report takes what an agent told.
 func (c *Core) Report(now time.Time, agent string, r *Report) {
 	t, ok := c.targets[agent]
 	if !ok {
-		t = &target{agent: agent, life: r.Life, factor: 1, slowdown: 1, runs: make(map[work.TaskRef]work.Run)}
-		c.settle = now.Add(settleTime)
+		t = &target{agent: agent, life: r.Life, baseSlowness: 1, slowdown: 1, runs: make(map[work.TaskRef]work.Run)}
+		c.startupUntil = now.Add(startupTime)
 		c.targets[agent] = t
-		c.names = append(c.names, agent)
-		slices.Sort(c.names)
+		c.agentNames = append(c.agentNames, agent)
+		slices.Sort(c.agentNames)
 	}
 	if t.life != r.Life {
 		if !r.Settled {
 			t.ready = false
 			return // what it ran before may not have ended yet
 		}
-		c.loseRuns(now, t, "agent started anew", true)
-		t.life, t.seq, t.tenure, t.unsaved = r.Life, 0, 0, nil
+		c.lapseRuns(now, t, "agent started anew", true)
+		t.life, t.lastSeq, t.confirmedEpoch, t.uncommitted = r.Life, 0, 0, nil
 	}
 	if t.Born != r.Target.Born {
 		t.slowdown = 1
-		t.slow, t.streak = mean{n: min(r.Pace.Runs, speedWindow), value: r.Pace.Log}, 0
-		t.judge()
+		t.logSlowness, t.consecutiveFailures = movingMean{n: min(r.Pace.Runs, speedWindow), value: r.Pace.Log}, 0
+		t.updateSlowness()
 	}
-	more := r.Ready != t.ready || r.Target.Born != t.Born || r.Others != t.others || now.Sub(t.heard) > c.cfg.Suspect
-	t.Target, t.ready, t.others, t.heard = r.Target, r.Ready, r.Others, now
+	more := r.Ready != t.ready || r.Target.Born != t.Born || r.Others != t.usedByOthers || now.Sub(t.lastContact) > c.cfg.Suspect
+	t.Target, t.ready, t.usedByOthers, t.lastContact = r.Target, r.Ready, r.Others, now
 	more = c.adopt(now, t, r) || more
 	for _, e := range r.Events {
-		if e.Seq > t.seq {
-			t.seq = e.Seq
-			c.take(now, t, e)
+		if e.Seq > t.lastSeq {
+			t.lastSeq = e.Seq
+			c.applyEvent(now, t, e)
 		}
 	}
-	c.evacuate(t)
-	c.observe(now, t, r.Idle)
-	c.observeSlow(now, t, r.Slow)
+	c.stopLasting(t)
+	c.takeStalled(now, t, r.Idle)
+	c.detectStraggler(now, t, r.Slow)
 	if more || len(r.Events) > 0 {
-		c.place(now)
+		c.placeWaiting(now)
 	}
 }
 
@@ -93,7 +93,7 @@
 // incarnation of the agent that it belongs to.
 func (c *Core) Taken(agent string) (life string, seq uint64) {
 	if t, ok := c.targets[agent]; ok {
-		return t.life, t.seq
+		return t.life, t.lastSeq
 	}
 	return "", 0
 }
@@ -104,40 +104,40 @@
 	switch {
 	case !ok:
 		return 0
-	case len(t.unsaved) > 0:
-		return slices.Min(t.unsaved) - 1
+	case len(t.uncommitted) > 0:
+		return slices.Min(t.uncommitted) - 1
 	}
-	return t.seq
+	return t.lastSeq
 }
 
 // Lost tells that all runs at an agent have ended, as far as leases tell.
-func (c *Core) loseAgents(now time.Time) {
-	for _, name := range c.names {
+func (c *Core) expireAgents(now time.Time) {
+	for _, name := range c.agentNames {
 		t := c.targets[name]
-		if now.Sub(t.heard) > c.cfg.Lost && len(t.runs) > 0 {
-			c.loseRuns(now, t, "agent out of contact", now.Sub(t.heard) > c.cfg.LostHeld)
+		if now.Sub(t.lastContact) > c.cfg.Lost && len(t.runs) > 0 {
+			c.lapseRuns(now, t, "agent out of contact", now.Sub(t.lastContact) > c.cfg.LostHeld)
 		}
 	}
-	c.names = slices.DeleteFunc(c.names, func(name string) bool {
+	c.agentNames = slices.DeleteFunc(c.agentNames, func(name string) bool {
 		t := c.targets[name]
-		gone := now.Sub(t.heard) > forgetAgent && len(t.runs) == 0
-		if gone {
+		expired := now.Sub(t.lastContact) > agentRetention && len(t.runs) == 0
+		if expired {
 			delete(c.targets, name)
 		}
-		return gone
+		return expired
 	})
 }
 
-// forgetAgent is the silence after which nothing is kept about an agent.
-const forgetAgent = 30 * time.Second
+// agentRetention is the silence after which nothing is kept about an agent.
+const agentRetention = 30 * time.Second
 
-// loseRuns ends the runs at an agent, with or without those of stored jobs.
-func (c *Core) loseRuns(now time.Time, t *target, why string, stored bool) {
-	for _, r := range t.sorted() {
+// lapseRuns ends the runs at an agent, with or without those of stored jobs.
+func (c *Core) lapseRuns(now time.Time, t *target, reason string, stored bool) {
+	for _, r := range t.sortedRuns() {
 		if j, ok := c.jobs[r.Task.Job]; ok && j.Stored && !stored {
 			continue
 		}
-		c.take(now, t, Event{Run: r, End: work.Lapsed, Reason: why})
+		c.applyEvent(now, t, Event{Run: r, End: work.Lapsed, Reason: reason})
 	}
 }
 
--- /dev/null
+++ b/schedule/slowness.go
@@ -0,0 +1,96 @@
+package schedule
+
+import (
+	"math"
+	"time"
+)
+
+// movingMean is an exponential moving average that starts as a plain one.
+type movingMean struct {
+	n     int
+	value float64
+}
+
+func (m *movingMean) add(v float64, window int) {
+	m.n = min(m.n+1, window)
+	m.value += (v - m.value) / float64(m.n)
+}
+
+const (
+	speedWindow = 40 // runs; the estimates of single runs are off by 40%
+	biasWindow  = 300
+	kindWeight  = 4 // runs as which the mean of a worker's kind counts
+)
+
+// slowness returns how much longer than on a worker of speed 1 a run takes. A
+// worker of which little is known counts like the others of its kind.
+func (t *target) slowness() float64 { return t.baseSlowness * t.slowdown }
+
+// updateSlowness computes the slowness from what is known.
+func (t *target) updateSlowness() {
+	weight := float64(t.logSlowness.n) / float64(t.logSlowness.n+kindWeight)
+	t.baseSlowness = math.Exp(t.logSlowness.value*weight + t.kindSlowness*(1-weight))
+}
+
+// kind returns the label that tells the kind of a worker.
+func (t *target) kind() string {
+	if len(t.Labels) == 0 {
+		return ""
+	}
+	return t.Service + "/" + t.Labels[0]
+}
+
+// updateKindSlowness gives every worker the mean of its kind.
+func (c *Core) updateKindSlowness() {
+	sum, n := make(map[string]float64), make(map[string]float64)
+	for _, name := range c.agentNames {
+		t := c.targets[name]
+		weight := float64(min(t.logSlowness.n, kindWeight))
+		sum[t.kind()] += weight * t.logSlowness.value
+		n[t.kind()] += weight
+	}
+	for _, t := range c.targets {
+		t.kindSlowness = sum[t.kind()] / max(n[t.kind()], 1)
+		t.updateSlowness()
+	}
+}
+
+// kindUpdateInterval is the pause between updates of the means of kinds.
+const kindUpdateInterval = 100 * time.Millisecond
+
+// recordRunTime takes the run time of a task that was done. What a worker is slower than
+// usual for now is not learned as its speed.
+func (c *Core) recordRunTime(t *target, j *job, slot int, took time.Duration) {
+	t.consecutiveFailures = 0
+	est := j.Step(slot).Estimate
+	if est <= 0 || took <= 0 {
+		return
+	}
+	ratio := math.Log(float64(took) / float64(est) / c.distanceFactor(j.Step(slot), t) / t.slowdown)
+	b := c.queueBias(j.Queue.Name)
+	t.logSlowness.add(ratio-b.value, speedWindow)
+	t.updateSlowness()
+	b.add(ratio-t.logSlowness.value, biasWindow)
+	b.runTimeFactor = math.Exp(b.value)
+}
+
+// bias is how far off the estimates of a queue are.
+type bias struct {
+	movingMean
+	runTimeFactor float64 // run time over estimate on a worker of slowness 1
+}
+
+func (c *Core) queueBias(queue string) *bias {
+	b, ok := c.biases[queue]
+	if !ok {
+		b = &bias{runTimeFactor: 1}
+		c.biases[queue] = b
+	}
+	return b
+}
+
+// expectedTime returns the run time of a task of a step on a worker of slowness 1.
+func (c *Core) expectedTime(j *job, slot int) time.Duration {
+	est := max(j.Step(slot).Estimate, time.Millisecond)
+	return time.Duration(float64(est) * c.queueBias(j.Queue.Name).runTimeFactor)
+}
--- a/schedule/stop.go
+++ b/schedule/stop.go
@@ -12,26 +12,26 @@
 	for i := range j.tasks {
 		for k := range j.tasks[i] {
 			t := &j.tasks[i][k]
-			if t.state == placed && (rest == 0 || now.Add(rest).Before(t.began.Add(t.expected))) {
-				c.stop(j, i, k)
+			if t.state == placed && (rest == 0 || now.Add(rest).Before(t.startedAt.Add(t.expected))) {
+				c.stopTask(j, i, k)
 			}
 		}
 	}
 }
 
-func (c *Core) stop(j *job, step, index int) {
-	t := &j.tasks[step][index]
+func (c *Core) stopTask(j *job, slot, index int) {
+	t := &j.tasks[slot][index]
 	if t.stopping {
 		return
 	}
 	t.stopping = true
-	c.order(t.agent, j.ref(step, index))
+	c.orderStop(t.agent, j.currentRun(slot, index))
 }
 
-// order orders an agent to stop a run.
-func (c *Core) order(agent string, r work.Run) {
-	if c.out.Stops == nil {
-		c.out.Stops = make(map[string][]work.Run)
+// orderStop orders an agent to stop a run.
+func (c *Core) orderStop(agent string, r work.Run) {
+	if c.decisions.Stops == nil {
+		c.decisions.Stops = make(map[string][]work.Run)
 	}
-	c.out.Stops[agent] = append(c.out.Stops[agent], r)
+	c.decisions.Stops[agent] = append(c.decisions.Stops[agent], r)
 }
--- a/schedule/stored_test.go
+++ b/schedule/stored_test.go
@@ -8,8 +8,8 @@
 	"masticbay/work"
 )
 
-// hold gives the home a tenure over the agents; those of former have to confirm it.
-func (d *desk) hold(epoch uint64, former ...string) {
+// setTenure gives the home a tenure over the agents; those of former have to confirm it.
+func (d *harness) setTenure(epoch uint64, former ...string) {
 	t := schedule.Tenure{Epoch: epoch, Until: d.now.Add(time.Hour), Agents: make(map[string]bool), Former: former}
 	if len(former) > 0 {
 		t.Clear = d.now.Add(6 * time.Second)
@@ -18,55 +18,55 @@
 		t.Agents[a] = true
 	}
 	d.c.Hold(d.now, t)
-	d.take()
+	d.collect()
 }
 
 // confirm lets an agent confirm a tenure and tell what it keeps.
-func (d *desk) confirm(name string, epoch uint64, kept []schedule.Kept, events ...schedule.Event) {
+func (d *harness) confirm(name string, epoch uint64, kept []schedule.Kept, events ...schedule.Event) {
 	for i := range events {
 		d.seq[name]++
 		events[i].Seq, events[i].Stored = d.seq[name], true
 	}
 	d.c.Report(d.now, name, &schedule.Report{Life: "1", Target: d.agents[name], Ready: true, Settled: true, Epoch: epoch, Asked: true, Kept: kept, Events: events})
-	d.take()
+	d.collect()
 }
 
-func (d *desk) restore(id string, tasks int, done ...int) {
+func (d *harness) restore(id string, tasks int, done ...int) {
 	j := job(id, 0, tasks, 100*time.Millisecond)
 	j.Stored = true
 	d.c.Restore(d.now, j, 1000, [][]int{done}, nil)
-	d.take()
+	d.collect()
 }
 
 func run(id string, index, number int) work.Run {
 	return work.Run{Task: work.TaskRef{Job: id, Index: index}, Number: number}
 }
 
-// formerDesk has agents that may run tasks of a former home.
-func formerDesk(t *testing.T, agents ...string) *desk {
-	d := newDesk(t)
+// newInheritingHarness has agents that may run tasks of a former home.
+func newInheritingHarness(t *testing.T, agents ...string) *harness {
+	d := newHarness(t)
 	for _, a := range agents {
-		d.agent(a, 4)
+		d.addAgent(a, 4)
 	}
-	d.hold(2, agents...)
+	d.setTenure(2, agents...)
 	return d
 }
 
-// tenuredDesk has agents with some room that obey the home for stored jobs.
-func tenuredDesk(t *testing.T, room int, agents ...string) *desk {
-	d := newDesk(t)
+// newTenureHarness has agents with some room that obey the home for stored jobs.
+func newTenureHarness(t *testing.T, room int, agents ...string) *harness {
+	d := newHarness(t)
 	for _, a := range agents {
-		d.agent(a, room)
+		d.addAgent(a, room)
 	}
-	d.hold(1)
+	d.setTenure(1)
 	for _, a := range agents {
 		d.confirm(a, 1, nil)
 	}
 	return d
 }
 
-func TestStoredJobWaitsForFormerAgents(t *testing.T) {
-	d := formerDesk(t, "a", "b")
+func TestStoredJobWaitsForPreviousAgents(t *testing.T) {
+	d := newInheritingHarness(t, "a", "b")
 	d.restore("j", 1)
 	d.confirm("a", 2, nil)
 	d.wantStarts("a", 0)
@@ -77,21 +77,21 @@
 }
 
 func TestStoredJobStartsWithoutALostAgentOnceItsLeasesEnded(t *testing.T) {
-	d := newDesk(t)
-	d.agent("a", 4)
-	d.hold(2, "a", "gone")
+	d := newHarness(t)
+	d.addAgent("a", 4)
+	d.setTenure(2, "a", "gone")
 	d.restore("j", 1)
 	d.confirm("a", 2, nil)
 	d.wantStarts("a", 0)
 	d.now = d.now.Add(6*time.Second + time.Millisecond)
 	d.confirm("a", 2, nil)
 	d.c.Tick(d.now)
-	d.take()
+	d.collect()
 	d.wantStarts("a", 1)
 }
 
-func TestRunsOfAFormerHomeAreAdopted(t *testing.T) {
-	d := formerDesk(t, "a")
+func TestRunsOfThePreviousHomeAreAdopted(t *testing.T) {
+	d := newInheritingHarness(t, "a")
 	d.restore("j", 3, 0)
 	d.confirm("a", 2, []schedule.Kept{{Run: run("j", 1, 5)}}, schedule.Event{Run: run("j", 2, 5), End: work.Done})
 	d.wantStarts("a", 0)
@@ -100,15 +100,15 @@
 }
 
 func TestRunsOfUnknownJobsAreStopped(t *testing.T) {
-	d := formerDesk(t, "a")
+	d := newInheritingHarness(t, "a")
 	d.confirm("a", 2, []schedule.Kept{{Run: run("cancelled", 0, 5)}})
 	if len(d.stops["a"]) != 1 {
 		t.Errorf("stops %v", d.stops)
 	}
 }
 
-func TestEndIsAcknowledgedOnceSaved(t *testing.T) {
-	d := tenuredDesk(t, 4, "a")
+func TestRunEndIsAcknowledgedOnceCommitted(t *testing.T) {
+	d := newTenureHarness(t, 4, "a")
 	d.restore("j", 1)
 	d.confirm("a", 1, nil, schedule.Event{Run: d.starts["a"][0], End: work.Done})
 	if got := d.c.Acked("a"); got != 0 {
@@ -120,12 +120,12 @@
 	}
 }
 
-// TestDeposedHomeLeavesEndsToTheNext: it must not acknowledge what it can not save.
-func TestDeposedHomeLeavesEndsToTheNext(t *testing.T) {
-	d := tenuredDesk(t, 4, "a")
+// TestDeposedHomeLeavesRunEndsToItsSuccessor: it must not acknowledge what it can not save.
+func TestDeposedHomeLeavesRunEndsToItsSuccessor(t *testing.T) {
+	d := newTenureHarness(t, 4, "a")
 	d.restore("j", 2)
 	d.confirm("a", 1, nil, schedule.Event{Run: d.starts["a"][0], End: work.Done})
-	d.hold(0)
+	d.setTenure(0)
 	d.confirm("a", 1, nil, schedule.Event{Run: d.starts["a"][1], End: work.Done})
 	if got := d.c.Acked("a"); got != 0 {
 		t.Fatalf("acknowledged %d", got)
@@ -137,26 +137,26 @@
 }
 
 func TestLateStoredJobsComeAfterThoseInTime(t *testing.T) {
-	d := tenuredDesk(t, 1, "a")
+	d := newTenureHarness(t, 1, "a")
 	d.restore("runs", 1)
 	d.restore("late", 1)
-	d.pass(2 * time.Second)
+	d.advance(2 * time.Second)
 	d.confirm("a", 1, nil)
 	d.restore("young", 1)
 	d.confirm("a", 1, nil, schedule.Event{Run: d.starts["a"][0], End: work.Done})
 	if got := d.starts["a"][len(d.starts["a"])-1].Task.Job; got != "young" {
 		t.Errorf("%s started first", got)
 	}
-	if _, rejected := d.ends["late"]; rejected {
+	if _, rejected := d.outcomes["late"]; rejected {
 		t.Error("a stored job was given up")
 	}
 }
 
 func TestCancelledJobIsStopped(t *testing.T) {
-	d := tenuredDesk(t, 4, "a")
+	d := newTenureHarness(t, 4, "a")
 	d.restore("j", 2)
 	d.c.Cancel(d.now, "j")
-	d.take()
+	d.collect()
 	if len(d.stops["a"]) != 2 {
 		t.Errorf("stops %v", d.stops)
 	}
@@ -165,11 +165,11 @@
 // TestEndsOfLaterStepsAreTakenBeforeThoseOfEarlierOnes: agents tell in any order what
 // a former home could not save.
 func TestEndsOfLaterStepsAreTakenBeforeThoseOfEarlierOnes(t *testing.T) {
-	d := formerDesk(t, "a", "b")
+	d := newInheritingHarness(t, "a", "b")
 	j := job("j", 0, 1, 100*time.Millisecond)
 	j.Steps = append(j.Steps, j.Steps[0])
 	j.Steps[1].After = []int{0}
-	d.restoreJob(j)
+	d.restoreStored(j)
 	second := work.Run{Task: work.TaskRef{Job: "j", Step: 1}, Number: 5}
 	d.confirm("a", 2, nil, schedule.Event{Run: second, End: work.Done})
 	d.confirm("b", 2, nil, schedule.Event{Run: run("j", 0, 5), End: work.Done})
@@ -182,10 +182,10 @@
 // TestReplyThatWasNotAskedForRunsConfirmsNothing: an exchange that began before the
 // agent heard of the tenure may end after it did.
 func TestReplyThatWasNotAskedForRunsConfirmsNothing(t *testing.T) {
-	d := formerDesk(t, "a")
+	d := newInheritingHarness(t, "a")
 	d.restore("j", 1)
 	d.c.Report(d.now, "a", &schedule.Report{Life: "1", Target: d.agents["a"], Ready: true, Settled: true, Epoch: 2})
-	d.take()
+	d.collect()
 	d.wantStarts("a", 0)
 	d.confirm("a", 2, []schedule.Kept{{Run: run("j", 0, 5)}})
 	d.wantStarts("a", 0)
--- a/schedule/slow.go
+++ b/schedule/straggler.go
@@ -19,24 +19,24 @@
 // with wrong estimates. One job proves nothing: the estimates of its tasks are
 // wrong together.
 const (
-	slowJobs   = 2
-	matureAge  = 60 * time.Millisecond  // within it a slow run may not have been seen as such
-	recentEnds = 200 * time.Millisecond // about the time of a task
+	minSlowJobs  = 2
+	matureAge    = 60 * time.Millisecond  // within it a slow run may not current been seen as such
+	recentWindow = 200 * time.Millisecond // about the time of a task
 )
 
-// soundEnds are the times at which runs ended about as expected, a moment ago.
-type soundEnds []time.Time
+// normalEnds are the times at which runs ended about as expected, a moment ago.
+type normalEnds []time.Time
 
-func (s *soundEnds) add(now time.Time, took, expected time.Duration) {
+func (s *normalEnds) add(now time.Time, took, expected time.Duration) {
 	if float64(took) <= worker.SlowTimes*float64(expected) {
-		s.recent(now)
+		s.countRecent(now)
 		*s = append(*s, now)
 	}
 }
 
-// recent forgets what is older than recentEnds, and returns how many are left.
-func (s *soundEnds) recent(now time.Time) int {
-	*s = slices.DeleteFunc(*s, func(at time.Time) bool { return now.Sub(at) > recentEnds })
+// countRecent forgets what is older than recentEnds, and returns how many are left.
+func (s *normalEnds) countRecent(now time.Time) int {
+	*s = slices.DeleteFunc(*s, func(at time.Time) bool { return now.Sub(at) > recentWindow })
 	return len(*s)
 }
 
@@ -44,8 +44,8 @@
 // tasks find out.
 const slowdownExpiry = 1500 * time.Millisecond
 
-// observeSlow takes the projections of runs that go far slower than expected.
-func (c *Core) observeSlow(now time.Time, t *target, slow []Projection) {
+// detectStraggler takes the projections of runs that go far slower than expected.
+func (c *Core) detectStraggler(now time.Time, t *target, slow []Projection) {
 	jobs := make(map[string]bool)
 	sum, n := 0.0, 0
 	for _, p := range slow {
@@ -55,34 +55,34 @@
 			n++
 		}
 	}
-	if len(jobs) < slowJobs || 2*n < c.matureRuns(now, t)+t.sound.recent(now) {
+	if len(jobs) < minSlowJobs || 2*n < c.countMatureRuns(now, t)+t.normalRuns.countRecent(now) {
 		return
 	}
 	slowdown := math.Exp(sum / float64(n))
 	if t.slowdown == 1 {
-		c.note(Note{Agent: t.agent, What: "workerSlow", Why: "runs of several jobs go slower than expected",
+		c.addNote(Note{Agent: t.agent, What: "workerSlow", Why: "runs of several jobs go slower than expected",
 			Values: map[string]float64{"times": slowdown, "slowRuns": float64(n), "runs": float64(len(t.runs))}})
 	}
-	t.slowdown, t.slowSeen = max(slowdown, 1), now
+	t.slowdown, t.lastSlow = max(slowdown, 1), now
 	for _, p := range slow {
-		c.move(now, t, p)
+		c.moveStraggler(now, t, p)
 	}
 }
 
 // placedTask returns the task of a run that is at work on a worker, or nil.
 func (c *Core) placedTask(t *target, r work.Run) *task {
-	have, ok := t.runs[r.Task]
+	current, ok := t.runs[r.Task]
 	j := c.jobs[r.Task.Job]
-	if !ok || have != r || j == nil {
+	if !ok || current != r || j == nil {
 		return nil
 	}
 	return &j.tasks[j.Slot(r.Task)][r.Task.Index]
 }
 
-// matureRuns returns how many runs on a worker are not young.
-func (c *Core) matureRuns(now time.Time, t *target) (n int) {
+// countMatureRuns returns how many runs on a worker are not young.
+func (c *Core) countMatureRuns(now time.Time, t *target) (n int) {
 	for _, r := range t.runs {
-		if tk := c.placedTask(t, r); tk != nil && now.Sub(tk.began) > matureAge {
+		if tk := c.placedTask(t, r); tk != nil && now.Sub(tk.startedAt) > matureAge {
 			n++
 		}
 	}
@@ -93,15 +93,15 @@
 // it, and messages go to and fro.
 const stopCost = 60 * time.Millisecond
 
-// move stops a run on a slow worker that would miss the objective there and end
+// moveStraggler stops a run on a slow worker that would miss the objective there and end
 // clearly sooner on another worker with room.
-func (c *Core) move(now time.Time, t *target, p Projection) {
+func (c *Core) moveStraggler(now time.Time, t *target, p Projection) {
 	tk := c.placedTask(t, p.Run)
 	j := c.jobs[p.Run.Task.Job]
-	if tk == nil || tk.stopping || j.over {
+	if tk == nil || tk.stopping || j.answered {
 		return
 	}
-	left := tk.began.Add(p.Took).Sub(now)
+	left := tk.startedAt.Add(p.Took).Sub(now)
 	if !now.Add(left).After(j.objective) {
 		return
 	}
@@ -109,29 +109,29 @@
 	if step.Gang {
 		return // its other members would end, too
 	}
-	nominal := c.expect(j, j.Slot(p.Run.Task))
-	for _, o := range c.open(now) {
-		there := stopCost + time.Duration(float64(nominal)*o.slowness()*c.distance(step, o))
-		if o == t || !c.suits(j, j.Slot(p.Run.Task), o) || !o.free().Holds(step.Room) || moveGain*there > left {
+	nominal := c.expectedTime(j, j.Slot(p.Run.Task))
+	for _, o := range c.openTargets(now) {
+		there := stopCost + time.Duration(float64(nominal)*o.slowness()*c.distanceFactor(step, o))
+		if o == t || !c.isEligible(j, j.Slot(p.Run.Task), o) || !o.free().Holds(step.Room) || minMoveGain*there > left {
 			continue
 		}
-		c.note(Note{Job: j.ID, Agent: t.agent, Run: p.Run, What: "runMoved", Why: "its worker is slow",
-			Values: map[string]float64{"leftMs": ms(left), "thereMs": ms(there), "ranMs": ms(now.Sub(tk.began))}})
-		j.shun(t.agent)
-		c.stop(j, j.Slot(p.Run.Task), p.Run.Task.Index)
+		c.addNote(Note{Job: j.ID, Agent: t.agent, Run: p.Run, What: "runMoved", Why: "its worker is slow",
+			Values: map[string]float64{"leftMs": ms(left), "thereMs": ms(there), "ranMs": ms(now.Sub(tk.startedAt))}})
+		j.avoidAgent(t.agent)
+		c.stopTask(j, j.Slot(p.Run.Task), p.Run.Task.Index)
 		return
 	}
 }
 
-// moveGain is how many times as long a run has to go on as it would take
+// minMoveGain is how many times as long a run has to go on as it would take
 // elsewhere, stop included, to be moved.
-const moveGain = 2
+const minMoveGain = 2
 
 // expireSlowdowns lets workers count as usual of whose slowness nothing was seen for
 // long.
 func (c *Core) expireSlowdowns(now time.Time) {
-	for _, name := range c.names {
-		if t := c.targets[name]; t.slowdown > 1 && now.Sub(t.slowSeen) > slowdownExpiry {
+	for _, name := range c.agentNames {
+		if t := c.targets[name]; t.slowdown > 1 && now.Sub(t.lastSlow) > slowdownExpiry {
 			t.slowdown = 1
 		}
 	}
--- a/schedule/slow_test.go
+++ b/schedule/straggler_test.go
@@ -9,33 +9,33 @@
 	"masticbay/work"
 )
 
-// slow tells that runs at an agent will take a multiple of what was expected.
-func (d *desk) slow(agent string, took time.Duration, runs ...work.Run) {
+// reportSlow tells that runs at an agent will take a multiple of what was expected.
+func (d *harness) reportSlow(agent string, took time.Duration, runs ...work.Run) {
 	r := &schedule.Report{Life: "1", Target: d.agents[agent], Ready: true, Settled: true}
 	for _, run := range runs {
 		r.Slow = append(r.Slow, schedule.Projection{Run: run, Took: took})
 	}
 	d.c.Report(d.now, agent, r)
-	d.take()
+	d.collect()
 }
 
 // TestWorkerThatTurnsSlow: runs of several jobs go far slower than expected. The
 // worker gets nothing that would be late there, and what can be in time
 // elsewhere is moved.
 func TestWorkerThatTurnsSlow(t *testing.T) {
-	d := newDesk(t)
-	d.agent("a", 2)
+	d := newHarness(t)
+	d.addAgent("a", 2)
 	d.submit(job("j1", 0, 1, 200*time.Millisecond))
 	d.submit(job("j2", 0, 1, 200*time.Millisecond))
 	d.wantStarts("a", 2)
-	d.agent("b", 2)
-	d.pass(40 * time.Millisecond)
-	d.slow("a", 1300*time.Millisecond, d.starts["a"]...)
+	d.addAgent("b", 2)
+	d.advance(40 * time.Millisecond)
+	d.reportSlow("a", 1300*time.Millisecond, d.starts["a"]...)
 	if n := len(d.stops["a"]); n != 2 {
 		t.Fatalf("%d runs were stopped, want 2", n)
 	}
 	for _, r := range d.starts["a"] {
-		d.end("a", r, work.Stopped, 90*time.Millisecond)
+		d.endRun("a", r, work.Stopped, 90*time.Millisecond)
 	}
 	d.wantStarts("b", 2)
 	d.submit(job("j3", 0, 1, 200*time.Millisecond))
@@ -44,16 +44,16 @@
 
 // TestSlowWorkerIsTriedAgain: nothing has been seen of its slowness for a while.
 func TestSlowWorkerIsTriedAgain(t *testing.T) {
-	d := newDesk(t)
-	d.agent("a", 2)
+	d := newHarness(t)
+	d.addAgent("a", 2)
 	d.submit(job("j1", 0, 1, 200*time.Millisecond))
 	d.submit(job("j2", 0, 1, 200*time.Millisecond))
-	d.slow("a", 1300*time.Millisecond, d.starts["a"]...)
+	d.reportSlow("a", 1300*time.Millisecond, d.starts["a"]...)
 	for _, r := range d.starts["a"] {
-		d.end("a", r, work.Done, 1300*time.Millisecond)
+		d.endRun("a", r, work.Done, 1300*time.Millisecond)
 	}
-	d.pass(2 * time.Second)
-	d.agent("b", 2)
+	d.advance(2 * time.Second)
+	d.addAgent("b", 2)
 	d.submit(job("j3", 0, 2, 2*time.Second))
 	d.submit(job("j4", 0, 2, 2*time.Second))
 	d.wantStarts("a", 4)
@@ -62,17 +62,17 @@
 // TestWrongEstimatesAmongManyEnds: what is left of the runs are those with wrong
 // estimates, but many others have ended as expected meanwhile.
 func TestWrongEstimatesAmongManyEnds(t *testing.T) {
-	d := newDesk(t)
-	d.agent("a", 8)
+	d := newHarness(t)
+	d.addAgent("a", 8)
 	for i := range 8 {
 		d.submit(job("j"+strconv.Itoa(i), 0, 1, 100*time.Millisecond))
 	}
-	d.agent("b", 8)
-	d.pass(100 * time.Millisecond)
+	d.addAgent("b", 8)
+	d.advance(100 * time.Millisecond)
 	for _, r := range d.starts["a"][2:] {
-		d.end("a", r, work.Done, 100*time.Millisecond)
+		d.endRun("a", r, work.Done, 100*time.Millisecond)
 	}
-	d.slow("a", 300*time.Millisecond, d.starts["a"][:2]...)
+	d.reportSlow("a", 300*time.Millisecond, d.starts["a"][:2]...)
 	if n := len(d.stops["a"]); n != 0 {
 		t.Errorf("%d runs were stopped, want none", n)
 	}
@@ -81,13 +81,13 @@
 // TestWrongEstimateIsNotASlowWorker: the tasks of one job take far longer than
 // estimated, others do not.
 func TestWrongEstimateIsNotASlowWorker(t *testing.T) {
-	d := newDesk(t)
-	d.agent("a", 4)
+	d := newHarness(t)
+	d.addAgent("a", 4)
 	d.submit(job("j1", 0, 2, 200*time.Millisecond))
 	d.submit(job("j2", 0, 1, 200*time.Millisecond))
-	d.agent("b", 4)
-	d.pass(80 * time.Millisecond)
-	d.slow("a", 600*time.Millisecond, d.starts["a"][0], d.starts["a"][1])
+	d.addAgent("b", 4)
+	d.advance(80 * time.Millisecond)
+	d.reportSlow("a", 600*time.Millisecond, d.starts["a"][0], d.starts["a"][1])
 	if n := len(d.stops["a"]); n != 0 {
 		t.Errorf("%d runs were stopped, want none", n)
 	}
