--- a/schedule/admit.go
+++ b/schedule/admit.go
@@ -15,65 +15,66 @@
 	reasonTooLarge  = "no worker has the room that a task asks for"
 )
 
-// defaultRetry is told when the queue gives no better figure.
+// defaultRetry is the retry time when the waiting work gives no better figure.
 const defaultRetry = time.Second
 
-// rejectReason returns why a job of which nothing was sent can not be served, and
-// when another one probably could. A new job is also judged by the work that
-// waits before it.
-func (c *Core) rejectReason(now time.Time, j *job, p *serviceCapacity, isNew bool) (reason string, retry time.Duration) {
-	if p.speed == 0 {
+// rejectReason returns why a job that has no task sent yet can not be served, or "",
+// and after what time a retry is likely to succeed. For a new job it also counts
+// the work that waits before it.
+func (c *Core) rejectReason(now time.Time, j *job, capacity *serviceCapacity, isNew bool) (reason string, retry time.Duration) {
+	if capacity.speed == 0 {
 		return reasonNoWorkers, defaultRetry
 	}
 	if isNew && c.queued > c.cfg.MaxQueued {
 		return reasonTooMany, defaultRetry
 	}
 	for i := range j.Steps {
-		if !p.maxCapacity.Holds(j.Steps[i].Room) {
+		if !capacity.maxCapacity.Holds(j.Steps[i].Room) {
 			return reasonTooLarge, defaultRetry
 		}
 	}
 	delay := time.Duration(0)
 	if isNew && now.After(c.startupUntil) {
-		delay = time.Duration(c.workAhead(j) / p.speed * float64(time.Millisecond))
+		delay = time.Duration(c.workAhead(j) / capacity.speed * float64(time.Millisecond))
 	}
-	need := time.Duration(float64(c.chainTime(j))*p.minSlowness) + c.cfg.Margin
+	need := time.Duration(float64(c.chainTime(j))*capacity.minSlowness) + c.cfg.Margin
 	if now.Add(delay + need).After(j.cutoff) {
 		return reasonTooLate, max(delay, need)
 	}
 	return "", 0
 }
 
-// chainTime returns the expected time of the longest chain on a worker of slowness 1.
+// chainTime returns the expected time of the job's longest chain of steps on workers
+// of slowness 1.
 func (c *Core) chainTime(j *job) time.Duration {
 	return time.Duration(float64(j.Chain()) * c.queueBias(j.Queue.Name).runTimeFactor)
 }
 
-// serviceCapacity is what the workers of a service can do together.
+// serviceCapacity sums up the usable workers of a service.
 type serviceCapacity struct {
-	speed       float64   // thousandths of cores, at slowness 1
-	maxCapacity work.Room // of any of them
-	minSlowness float64   // least slowness
+	speed       float64   // total CPU in thousandths of a core, scaled to slowness 1
+	maxCapacity work.Room // largest of each resource on any worker
+	minSlowness float64   // of the fastest worker
 }
 
 func (c *Core) serviceCapacity(now time.Time, service string) *serviceCapacity {
-	p := &serviceCapacity{minSlowness: math.Inf(1)}
+	capacity := &serviceCapacity{minSlowness: math.Inf(1)}
 	for _, name := range c.agentNames {
 		t := c.targets[name]
 		if t.Service != service || !c.isUsable(now, t) {
 			continue
 		}
-		p.speed += float64(t.Capacity.CPU) / t.slowness()
-		p.minSlowness = min(p.minSlowness, t.slowness())
-		p.maxCapacity.CPU = max(p.maxCapacity.CPU, t.Capacity.CPU)
-		p.maxCapacity.Memory = max(p.maxCapacity.Memory, t.Capacity.Memory)
-		p.maxCapacity.GPUs = max(p.maxCapacity.GPUs, t.Capacity.GPUs)
+		capacity.speed += float64(t.Capacity.CPU) / t.slowness()
+		capacity.minSlowness = min(capacity.minSlowness, t.slowness())
+		capacity.maxCapacity.CPU = max(capacity.maxCapacity.CPU, t.Capacity.CPU)
+		capacity.maxCapacity.Memory = max(capacity.maxCapacity.Memory, t.Capacity.Memory)
+		capacity.maxCapacity.GPUs = max(capacity.maxCapacity.GPUs, t.Capacity.GPUs)
 	}
-	return p
+	return capacity
 }
 
-// workAhead returns the work that waits before a job, in core-thousandths times
-// milliseconds at slowness 1.
+// workAhead returns the work that waits before a job, in thousandths of a core times
+// milliseconds, at slowness 1.
 func (c *Core) workAhead(j *job) float64 {
 	sum := 0.0
 	for _, o := range c.waiting {
@@ -87,36 +88,35 @@
 	return sum
 }
 
-// pendingWork returns the work of a job's pending tasks.
+// pendingWork returns the work of a job's pending tasks, in the unit of workAhead.
 func (c *Core) pendingWork(j *job) float64 {
-	step := j.Step(0) // steps of a job are much alike
+	step := j.Step(0) // the steps of a job are much alike
 	return float64(j.pending*step.Room.CPU) * ms(c.expectedTime(j, 0))
 }
 
-// rejectHopeless rejects waiting jobs that can no longer end in time. A job of which
-// something was sent is answered as unknown instead when its time is over.
+// rejectHopeless sheds load: it rejects waiting jobs that can no longer end in time.
+// A job that has had a task sent is answered as unknown instead once its time is over.
 func (c *Core) rejectHopeless(now time.Time) {
-	powers := make(map[string]*serviceCapacity)
+	capacities := make(map[string]*serviceCapacity)
 	for i := 0; i < len(c.waiting); i++ {
 		j := c.waiting[i]
 		if j.wasSent || j.Stored {
 			continue
 		}
-		p, ok := powers[j.Queue.Service]
+		capacity, ok := capacities[j.Queue.Service]
 		if !ok {
-			p = c.serviceCapacity(now, j.Queue.Service)
-			powers[j.Queue.Service] = p
+			capacity = c.serviceCapacity(now, j.Queue.Service)
+			capacities[j.Queue.Service] = capacity
 		}
-		if reason, retry := c.rejectReason(now, j, p, false); reason != "" && (reason != reasonNoWorkers || now.After(j.objective)) {
+		if reason, retry := c.rejectReason(now, j, capacity, false); reason != "" && (reason != reasonNoWorkers || now.After(j.objective)) {
 			c.reject(now, j, reason, retry)
 			i--
 		}
 	}
 }
 
-// reject answers a job of which nothing was sent to an agent since it was
-// submitted. If it was submitted before and some of it was sent then, its
-// outcome is unknown.
+// reject answers a job that has had no task sent to an agent since its submission.
+// If tasks were sent after an earlier submission of the job, its outcome is unknown.
 func (c *Core) reject(now time.Time, j *job, reason string, retry time.Duration) {
 	c.addNote(Note{Job: j.ID, What: "rejected", Why: reason, Values: map[string]float64{
 		"waitedMs": ms(now.Sub(j.receivedAt)), "queuedTasks": float64(c.queued), "retryMs": ms(retry), "cutoffMs": ms(j.cutoff.Sub(now)),
--- a/schedule/answer.go
+++ b/schedule/answer.go
@@ -4,7 +4,7 @@
 	"masticbay/work"
 )
 
-// close answers a job.
+// close answers a job with its outcome.
 func (c *Core) close(j *job, out work.Outcome) {
 	if j.answered {
 		return
@@ -15,7 +15,7 @@
 	c.decisions.Outcomes = append(c.decisions.Outcomes, Ending{j.ID, out})
 	switch {
 	case j.Stored:
-		// The ledger remembers it.
+		// The ledger keeps the outcome.
 	case out.State == work.Completed, out.State == work.JobFailed:
 		c.rememberOutcome(j.ID, out)
 	default:
@@ -24,10 +24,10 @@
 	c.releaseJob(j)
 }
 
-// noteOutcome tells how a job went, for the log.
+// noteOutcome adds a log note on how a job went.
 func (c *Core) noteOutcome(j *job, out work.Outcome) {
 	if !j.wasSent {
-		return // a rejection has a note of its own
+		return // a rejection has its own note
 	}
 	c.addNote(Note{Job: j.ID, Agent: j.lastRun.agent, What: "jobEnded", Why: string(out.State) + " " + out.Reason, Values: map[string]float64{
 		"firstStartMs": ms(j.firstPlacedAt.Sub(j.receivedAt)), "objectiveMs": ms(j.objective.Sub(j.receivedAt)), "tasks": float64(j.Tasks()),
@@ -35,7 +35,7 @@
 	}})
 }
 
-// releaseJob forgets a job that is answered once nothing of it runs.
+// releaseJob deletes a job that is answered and has no runs.
 func (c *Core) releaseJob(j *job) {
 	if j.answered && j.running == 0 {
 		delete(c.jobs, j.ID)
@@ -44,6 +44,7 @@
 	}
 }
 
+// rememberOutcome keeps an outcome for callers that submit the job again.
 func (c *Core) rememberOutcome(id string, out work.Outcome) {
 	if len(c.outcomeOrder) >= c.cfg.Remember {
 		delete(c.outcomes, c.outcomeOrder[0])
@@ -53,8 +54,8 @@
 	c.outcomeOrder = append(c.outcomeOrder, id)
 }
 
-// rememberSent keeps in mind that something of a job may have run, so that it
-// is not said to have not run when its caller submits it again.
+// rememberSent records that a task of a job may have run, so that the job is not
+// reported as not run when its caller submits it again.
 func (c *Core) rememberSent(j *job) {
 	if !j.wasSent || c.sentJobs[j.ID] {
 		return
--- a/schedule/core.go
+++ b/schedule/core.go
@@ -1,22 +1,25 @@
-// Package schedule decides which task runs where and when, at the entry that
-// is the home of a service.
+// Package schedule decides which task runs where and when. It runs at the home,
+// the coordinator that places the tasks of a site.
 //
 // # Model
 //
-// All jobs of a service meet at its home, which knows the room of every worker
-// from what it placed there and from what the agents report. A job waits by
-// the priority of its queue and the time by which it has to begin. When a
-// worker has room, the first waiting task for which the worker is a good
-// choice goes there. A good choice is the slowest worker that still meets the
-// job's objective, so that fast workers are free for the tasks that need them.
+// All jobs of a service are queued at the home. It computes the free capacity of
+// every worker from the runs that it placed there and from the agents' reports.
+// Jobs wait in the order of their queue's priority and their objective, a soft
+// deadline. When a worker has free capacity, it gets the first waiting task for
+// which it is a good choice: the slowest worker that still meets the job's
+// objective, so that fast workers stay free for the tasks that need them.
 //
-// A job that can not end before its caller leaves, or so late that it is of no
-// use, is rejected as early as that is known, and only while none of it has
-// been sent to an agent.
+// A job that can not end before its cutoff, a hard deadline, is rejected as soon
+// as that is known, and only while none of its tasks has been sent to an agent.
 //
-// A run ends by an event of its agent, or when the agent has been out of
-// contact for so long that both leases of the run have ended. Only then the
-// task may start again.
+// A run ends when its agent reports an event, or when the agent has been out of
+// contact for so long that both leases of the run have expired. Only then may the
+// task start again.
+//
+// Stored jobs outlive the home. Their tasks are placed only under a tenure: the
+// ledger holder's term, a lease with an epoch. A life is one incarnation of a
+// process.
 //
 // Core holds this state. It has no goroutines, sockets, clocks or random
 // numbers: each method takes the time. Orders and outcomes are collected until
@@ -38,16 +41,16 @@
 
 // Config holds the limits of a Core.
 type Config struct {
-	Suspect time.Duration // silence of an agent after which it gets no new task
-	// SuspectIdle is the same for an agent without tasks, which is asked less often.
+	Suspect time.Duration // time without contact after which an agent gets no new task
+	// SuspectIdle is the same for an agent without tasks, which is polled less often.
 	SuspectIdle time.Duration
-	Lost        time.Duration // silence of an agent after which its runs have ended
+	Lost        time.Duration // time without contact after which an agent's runs have ended
 	LostHeld    time.Duration // the same for runs of stored jobs
-	Far         float64       // multiple of its run time that a task takes away from its data; 1 if less
-	Late        float64       // multiple of the objective after which an answer is of no use
-	Margin      time.Duration // time for messages between a placement and its start, and back
-	Remember    int           // ended jobs whose outcome is kept for callers that ask again
-	MaxQueued   int           // tasks that wait
+	Far         float64       // run time of a task away from its data, as a multiple of that near it; at least 1
+	Late        float64       // multiple of the objective after which a job's end is of no use
+	Margin      time.Duration // time for the messages that start a run and report its end
+	Remember    int           // number of outcomes kept for callers that submit a job again
+	MaxQueued   int           // waiting tasks beyond which new jobs are rejected
 }
 
 // Core is the state of a home. NewCore makes one.
@@ -56,18 +59,18 @@
 	targets        map[string]*target
 	agentNames     []string // of targets, sorted, so that decisions do not depend on map order
 	jobs           map[string]*job
-	waiting        []*job // with tasks to place, in the order in which they are served
-	queued         int    // tasks that wait
+	waiting        []*job // have tasks to place; in the order in which they are served
+	queued         int    // waiting tasks
 	outcomes       map[string]work.Outcome
-	outcomeOrder   []string         // keys of ended, oldest first
-	sentJobs       map[string]bool  // jobs that were withdrawn after something of them was sent
-	sentOrder      []string         // keys of began, oldest first
+	outcomeOrder   []string         // keys of outcomes, oldest first
+	sentJobs       map[string]bool  // jobs that were closed without a result after a task of them was sent
+	sentOrder      []string         // keys of sentJobs, oldest first
 	biases         map[string]*bias // by queue
-	startupUntil   time.Time        // until then more workers are expected to come into contact
-	lastKindUpdate time.Time        // when the means of the kinds of workers were computed
-	timed          []*job           // with occurrences whose time has not come
+	startupUntil   time.Time        // until then more workers are expected to make contact
+	lastKindUpdate time.Time        // when the mean slowness of each kind of worker was computed
+	timed          []*job           // have occurrences that are not due yet
 	tenure         Tenure
-	highestEpoch   uint64 // of the last tenure
+	highestEpoch   uint64 // of all tenures so far
 	decisions      Decisions
 }
 
@@ -79,7 +82,7 @@
 	}
 }
 
-// Decisions are what a Core wants done.
+// Decisions are the orders, outcomes and log notes that a Core has collected.
 type Decisions struct {
 	Starts   map[string][]work.Start // by agent
 	Stops    map[string][]work.Run   // by agent
@@ -94,17 +97,17 @@
 	Outcome work.Outcome
 }
 
-// Note is a decision worth a line in the log.
+// Note is a decision for the log.
 type Note struct {
 	Job    string
 	Agent  string
 	Run    work.Run
 	What   string
 	Why    string
-	Values map[string]float64 // what the decision depended on
+	Values map[string]float64 // the figures behind the decision
 }
 
-// Take returns what was decided since the last call.
+// Take returns the decisions since the last call.
 func (c *Core) Take() Decisions {
 	d := c.decisions
 	c.decisions = Decisions{}
@@ -113,7 +116,7 @@
 
 func (c *Core) addNote(n Note) { c.decisions.Notes = append(c.decisions.Notes, n) }
 
-// Load returns the tasks and jobs at set times that wait, and the tasks that run.
+// Load returns the number of waiting tasks and timed jobs, and of running tasks.
 func (c *Core) Load() (waiting, running int) {
 	for _, t := range c.targets {
 		running += len(t.runs)
@@ -121,7 +124,7 @@
 	return c.queued + len(c.timed), running
 }
 
-// Waiting returns, by queue, how many jobs have not begun.
+// Waiting returns, by queue, the number of waiting jobs that have had no task sent.
 func (c *Core) Waiting() map[string]int {
 	counts := make(map[string]int)
 	for _, j := range c.waiting {
@@ -132,7 +135,7 @@
 	return counts
 }
 
-// Submit takes a job. Its outcome follows with Take, maybe at once.
+// Submit adds a job, unless it is known. Take returns its outcome, maybe at once.
 func (c *Core) Submit(now time.Time, w work.Job, firstRun int) {
 	if out, ok := c.outcomes[w.ID]; ok {
 		c.decisions.Outcomes = append(c.decisions.Outcomes, Ending{w.ID, out})
@@ -157,7 +160,7 @@
 	c.placeWaiting(now)
 }
 
-// reattach lets a caller wait again for a job that had been withdrawn.
+// reattach lets a caller wait again for a job that was withdrawn.
 func (c *Core) reattach(now time.Time, j *job) {
 	if !j.withdrawn {
 		return
@@ -167,8 +170,8 @@
 	c.placeWaiting(now)
 }
 
-// Withdraw takes back a job for which nobody waits any more. Runs that have
-// long to go are stopped.
+// Withdraw cancels a job whose caller is gone. It stops the runs that are expected
+// to go on for longer than withdrawnGrace.
 func (c *Core) Withdraw(now time.Time, id string) {
 	j, ok := c.jobs[id]
 	if !ok || j.withdrawn || j.answered {
@@ -180,12 +183,12 @@
 	c.placeWaiting(now)
 }
 
-// withdrawnGrace is the rest of a run that is let to its end although nobody
-// waits for it; a stop takes 50 ms of the worker's time by itself.
+// withdrawnGrace is the remaining time within which a run of a withdrawn job may
+// end by itself; a stop takes 50 ms of the worker's time.
 const withdrawnGrace = 60 * time.Millisecond
 
-// Tick is called every few milliseconds while jobs wait, and at least a few
-// times in Config.Suspect.
+// Tick runs the decisions that depend on time. It is called every few milliseconds
+// while jobs wait, and at least a few times per Config.Suspect.
 func (c *Core) Tick(now time.Time) {
 	if now.Sub(c.lastKindUpdate) > kindUpdateInterval {
 		c.lastKindUpdate = now
--- a/schedule/end.go
+++ b/schedule/end.go
@@ -6,15 +6,16 @@
 	"masticbay/work"
 )
 
-// The quarantine of a worker on which runs fail one after the other.
+// A worker is quarantined after consecutive failures; after refused starts it gets
+// no tasks for a backoff time.
 const (
-	quarantineFailures = 2
+	quarantineFailures = 2 // consecutive failed or stalled runs
 	quarantineTime     = 1500 * time.Millisecond
 	unwellBackoff      = 200 * time.Millisecond // a worker that refuses all starts
-	noRoomBackoff      = 15 * time.Millisecond  // room that is taken in a way not known here
+	noRoomBackoff      = 15 * time.Millisecond  // resources are used in a way not known here
 )
 
-// applyEvent takes the end of a run.
+// applyEvent records the end of a run and decides what follows from it.
 func (c *Core) applyEvent(now time.Time, t *target, e Event) {
 	current, ok := t.runs[e.Run.Task]
 	if !ok && c.adoptEnded(now, t, &e) {
@@ -65,6 +66,7 @@
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
+// finishTask marks a task as done, and closes its job if it was the last one.
 func (c *Core) finishTask(now time.Time, j *job, slot, index int) {
 	j.tasks[slot][index].state = done
 	j.unfinished[slot]--
@@ -90,11 +92,12 @@
 	return true
 }
 
+// failTask counts a failed run of a task, and repeats the task or fails its job.
 func (c *Core) failTask(now time.Time, t *target, j *job, slot, index int) {
 	tk := &j.tasks[slot][index]
 	tk.failures++
 	if tk.failures == 1 {
-		// A task that failed elsewhere before says little about this worker.
+		// A task that has failed on another worker says little about this one.
 		c.countFailure(now, t)
 	}
 	j.avoidAgent(t.agent)
@@ -106,7 +109,8 @@
 	c.requeue(j, slot, index)
 }
 
-// countFailure counts a run that failed or stalled against a worker.
+// countFailure counts a failed or stalled run against a worker, which may be
+// quarantined for it.
 func (c *Core) countFailure(now time.Time, t *target) {
 	t.consecutiveFailures++
 	if t.consecutiveFailures >= quarantineFailures && now.After(t.backoffUntil) {
@@ -122,7 +126,7 @@
 	j.avoid[agent] = true
 }
 
-// requeue makes a task pending that has to run once more.
+// requeue makes a task pending again.
 func (c *Core) requeue(j *job, slot, index int) {
 	j.tasks[slot][index].state = pending
 	j.pending++
@@ -130,7 +134,7 @@
 	c.enqueue(j)
 }
 
-// backOff keeps tasks away from a worker that does not take them for now.
+// backOff places no tasks for a while on a worker that refused a start.
 func (c *Core) backOff(now time.Time, t *target, e Event) {
 	pause := time.Duration(0)
 	switch {
@@ -148,7 +152,7 @@
 	}
 }
 
-// Reasons of refusals that agents pass on.
+// Reasons with which workers refuse starts, as agents report them.
 const (
 	refusedUnwell = "unwell"
 	refusedOld    = "old"
--- a/schedule/harness_test.go
+++ b/schedule/harness_test.go
@@ -34,50 +34,53 @@
 	}
 }
 
-// addAgent adds an agent whose worker has room for some tasks of ten thousandths.
-func (d *harness) addAgent(name string, room int, labels ...string) {
-	d.agents[name] = work.Target{ID: "w-" + name, Born: 1, Service: "s", Labels: labels, Capacity: work.Room{CPU: 10 * room}}
-	d.report(name)
+// addAgent adds an agent whose worker has capacity for a number of tasks, each of
+// which needs ten thousandths of a core.
+func (h *harness) addAgent(name string, slots int, labels ...string) {
+	h.agents[name] = work.Target{ID: "w-" + name, Born: 1, Service: "s", Labels: labels, Capacity: work.Room{CPU: 10 * slots}}
+	h.report(name)
 }
 
-func (d *harness) report(name string, events ...schedule.Event) {
+func (h *harness) report(name string, events ...schedule.Event) {
 	for i := range events {
-		d.seq[name]++
-		events[i].Seq = d.seq[name]
+		h.seq[name]++
+		events[i].Seq = h.seq[name]
 	}
-	d.c.Report(d.now, name, &schedule.Report{Life: "1", Target: d.agents[name], Ready: true, Settled: true, Events: events})
-	d.collect()
+	h.c.Report(h.now, name, &schedule.Report{Life: "1", Target: h.agents[name], Ready: true, Settled: true, Events: events})
+	h.collect()
 }
 
-func (d *harness) collect() {
-	decisions := d.c.Take()
+// collect records the decisions since the last call.
+func (h *harness) collect() {
+	decisions := h.c.Take()
 	for a, starts := range decisions.Starts {
 		for _, s := range starts {
-			d.starts[a] = append(d.starts[a], s.Run)
+			h.starts[a] = append(h.starts[a], s.Run)
 		}
 	}
 	for a, runs := range decisions.Stops {
-		d.stops[a] = append(d.stops[a], runs...)
+		h.stops[a] = append(h.stops[a], runs...)
 	}
 	for _, e := range decisions.Outcomes {
-		d.outcomes[e.Job] = e.Outcome
+		h.outcomes[e.Job] = e.Outcome
 	}
 }
 
-// advance lets time go on while all agents stay in contact.
-func (d *harness) advance(span time.Duration, silent ...string) {
-	for end := d.now.Add(span); d.now.Before(end); {
-		d.now = d.now.Add(10 * time.Millisecond)
-		for name := range d.agents {
-			if len(silent) == 0 || silent[0] != name {
-				d.report(name)
+// advance moves time on while all agents stay in contact, except the one given.
+func (h *harness) advance(span time.Duration, outOfContact ...string) {
+	for end := h.now.Add(span); h.now.Before(end); {
+		h.now = h.now.Add(10 * time.Millisecond)
+		for name := range h.agents {
+			if len(outOfContact) == 0 || outOfContact[0] != name {
+				h.report(name)
 			}
 		}
-		d.c.Tick(d.now)
-		d.collect()
+		h.c.Tick(h.now)
+		h.collect()
 	}
 }
 
+// job returns a job of one step for the queue of a priority.
 func job(id string, priority, tasks int, est time.Duration) work.Job {
 	return work.Job{
 		ID: id, Left: 5 * time.Second,
@@ -86,39 +89,39 @@
 	}
 }
 
-func (d *harness) submit(j work.Job) {
-	d.c.Submit(d.now, j, 0)
-	d.collect()
+func (h *harness) submit(j work.Job) {
+	h.c.Submit(h.now, j, 0)
+	h.collect()
 }
 
-func (d *harness) endRun(agent string, r work.Run, end work.End, took time.Duration) {
-	d.report(agent, schedule.Event{Run: r, End: end, Took: took})
+func (h *harness) endRun(agent string, r work.Run, end work.End, took time.Duration) {
+	h.report(agent, schedule.Event{Run: r, End: end, Took: took})
 }
 
-func (d *harness) wantOutcome(id string, want work.State) {
-	d.t.Helper()
-	if got := d.outcomes[id].State; got != want {
-		d.t.Errorf("job %s ended as %q (%s), want %q", id, got, d.outcomes[id].Reason, want)
+func (h *harness) wantOutcome(id string, want work.State) {
+	h.t.Helper()
+	if got := h.outcomes[id].State; got != want {
+		h.t.Errorf("job %s ended as %q (%s), want %q", id, got, h.outcomes[id].Reason, want)
 	}
 }
 
-func (d *harness) wantStarts(agent string, want int) {
-	d.t.Helper()
-	if got := len(d.starts[agent]); got != want {
-		d.t.Errorf("%d starts at %s, want %d", got, agent, want)
+func (h *harness) wantStarts(agent string, want int) {
+	h.t.Helper()
+	if got := len(h.starts[agent]); got != want {
+		h.t.Errorf("%d starts at %s, want %d", got, agent, want)
 	}
 }
 
-// teachSlowness lets a worker of slowness x run tasks until its speed is known.
-func (d *harness) teachSlowness(agent string, x float64) {
+// teachSlowness lets a worker of the given slowness run tasks until its slowness is known.
+func (h *harness) teachSlowness(agent string, slowness float64) {
 	est := 100 * time.Millisecond
-	d.c.Submit(d.now, job("teach-"+agent, 0, 1, est), 0)
+	h.c.Submit(h.now, job("teach-"+agent, 0, 1, est), 0)
 	for i := range 60 {
-		d.collect()
-		r := d.starts[agent][len(d.starts[agent])-1]
-		d.endRun(agent, r, work.Done, time.Duration(float64(est)*x))
-		d.c.Submit(d.now, job("teach-"+agent+strconv.Itoa(i), 0, 1, est), 0)
+		h.collect()
+		r := h.starts[agent][len(h.starts[agent])-1]
+		h.endRun(agent, r, work.Done, time.Duration(float64(est)*slowness))
+		h.c.Submit(h.now, job("teach-"+agent+strconv.Itoa(i), 0, 1, est), 0)
 	}
-	d.collect()
-	d.endRun(agent, d.starts[agent][len(d.starts[agent])-1], work.Done, est)
+	h.collect()
+	h.endRun(agent, h.starts[agent][len(h.starts[agent])-1], work.Done, est)
 }
--- a/schedule/job.go
+++ b/schedule/job.go
@@ -6,32 +6,32 @@
 	"masticbay/work"
 )
 
-// job is a job that has not been answered, or of which something still runs.
+// job is a job that has not been answered, or that still has runs.
 type job struct {
 	work.Job
-	receivedAt     time.Time // when the system got it
-	objective      time.Time
-	cutoff         time.Time // after it an answer is of no use
+	receivedAt     time.Time // when the system received it
+	objective      time.Time // soft deadline
+	cutoff         time.Time // hard deadline: a later end is of no use
 	tasks          [][]task  // by slot
 	unfinished     []int     // by slot: tasks that are not done
-	pending        int       // tasks to place, of steps whose turn has come
+	pending        int       // tasks to place, of steps that are ready
 	running        int
-	minCPU         int             // of any task, in thousandths of a core
-	wasSent        bool            // something of it was sent to an agent
-	withdrawn      bool            // nobody waits for it
-	answered       bool            // it has been answered
-	missesDeadline bool            // it can no longer be in time, and has to be done all the same
+	minCPU         int  // of any task, in thousandths of a core
+	wasSent        bool // a task of it was sent to an agent
+	withdrawn      bool // its caller is gone
+	answered       bool
+	missesDeadline bool            // it can no longer meet its cutoff, but still has to be done
 	isWaiting      bool            // it is in Core.waiting
 	avoid          map[string]bool // agents where a run failed or stalled
-	firstPlacedAt  time.Time       // first placement
-	requeues       int             // runs that had to be repeated
-	lastRun        runTimes        // the run that ended last
+	firstPlacedAt  time.Time
+	requeues       int      // runs that did not end as done
+	lastRun        runTimes // the run that ended last
 }
 
-// runTimes tells what a job waited for in the end.
+// runTimes tells where and for how long a run waited and ran.
 type runTimes struct {
 	agent    string
-	wait     time.Duration // from the job's begin to the placement
+	wait     time.Duration // from the receipt of the job to the placement
 	took     time.Duration
 	expected time.Duration
 }
@@ -39,7 +39,7 @@
 type taskState int
 
 const (
-	blocked taskState = iota // its step's turn has not come
+	blocked taskState = iota // its step is not ready
 	pending
 	placed
 	done
@@ -48,7 +48,7 @@
 type task struct {
 	state      taskState
 	runNumber  int    // number of the last run
-	checkpoint string // checkpoint to resume from; empty for none
+	checkpoint string // where to resume; empty for the beginning
 	failures   int
 	agent      string
 	startedAt  time.Time
@@ -72,11 +72,11 @@
 	return j
 }
 
-// stepReady reports whether all steps before that of slot i are done.
+// stepReady reports whether all steps that slot i depends on are done.
 func (j *job) stepReady(i int) bool {
 	first := i - i%len(j.Steps) // slot of the occurrence
-	for _, before := range j.Step(i).After {
-		if j.unfinished[first+before] > 0 {
+	for _, earlier := range j.Step(i).After {
+		if j.unfinished[first+earlier] > 0 {
 			return false
 		}
 	}
@@ -88,14 +88,13 @@
 	return work.Run{Task: j.Ref(slot, index), Number: j.tasks[slot][index].runNumber}
 }
 
-// cutoff returns the time after which the end of a job is of no use to its
-// caller, if that waits.
+// cutoff returns the time after which the end of a job is of no use to a caller
+// that waits for it.
 func (c *Core) cutoff(j *job) time.Time {
 	return j.receivedAt.Add(time.Duration(float64(j.Queue.Objective(j.Chain())) * c.cfg.Late))
 }
 
-// unblock makes the tasks pending whose time has come and whose earlier steps are
-// done.
+// unblock makes those tasks pending that are due and whose steps are ready.
 func (c *Core) unblock(now time.Time, j *job) {
 	for i := range j.tasks {
 		if now.Before(j.Due(i)) {
--- a/schedule/place.go
+++ b/schedule/place.go
@@ -7,7 +7,7 @@
 	"masticbay/work"
 )
 
-// enqueue puts a job with tasks to place among those that wait.
+// enqueue inserts a job that has tasks to place into the waiting jobs.
 func (c *Core) enqueue(j *job) {
 	if j.isWaiting || j.answered || j.pending == 0 {
 		return
@@ -17,7 +17,8 @@
 	c.waiting = slices.Insert(c.waiting, i, j)
 }
 
-// compareJobs orders jobs: those that can be in time first, by priority, then by the objective, then by name.
+// compareJobs orders jobs: those that can still meet their deadline first, then by
+// priority, by objective and by ID.
 func compareJobs(a, b *job) int {
 	switch {
 	case a.missesDeadline != b.missesDeadline:
@@ -36,6 +37,7 @@
 	}
 }
 
+// dequeue removes a job from the waiting jobs.
 func (c *Core) dequeue(j *job) {
 	if !j.isWaiting {
 		return
@@ -44,21 +46,21 @@
 	c.waiting = slices.DeleteFunc(c.waiting, func(o *job) bool { return o == j })
 }
 
-// placeWaiting gives waiting tasks to workers with room.
+// placeWaiting places waiting tasks on workers that have free capacity.
 func (c *Core) placeWaiting(now time.Time) {
 	open := c.openTargets(now)
 	if len(open) == 0 {
 		return
 	}
-	most := maxFreeCPU(open)
-	tenured := c.mayPlaceStored(now)
+	maxFree := maxFreeCPU(open)
+	storedAllowed := c.mayPlaceStored(now)
 	for i := 0; i < len(c.waiting); i++ {
 		j := c.waiting[i]
-		if j.minCPU > most || j.Stored && !tenured {
+		if j.minCPU > maxFree || j.Stored && !storedAllowed {
 			continue
 		}
 		if c.placeJob(now, j, open) {
-			most = maxFreeCPU(open)
+			maxFree = maxFreeCPU(open)
 		}
 		if j.pending == 0 {
 			j.isWaiting = false
@@ -68,7 +70,7 @@
 	}
 }
 
-// openTargets returns the workers that take starts.
+// openTargets returns the workers on which tasks may be placed now.
 func (c *Core) openTargets(now time.Time) []*target {
 	var open []*target
 	for _, name := range c.agentNames {
@@ -80,28 +82,28 @@
 	return open
 }
 
-// isUsable reports whether a worker is in contact and serves.
+// isUsable reports whether a worker is in contact, takes starts and is not draining.
 func (c *Core) isUsable(now time.Time, t *target) bool {
-	silence := max(c.cfg.Suspect, c.cfg.SuspectIdle)
+	contactTimeout := max(c.cfg.Suspect, c.cfg.SuspectIdle)
 	if len(t.runs) > 0 {
-		silence = c.cfg.Suspect
+		contactTimeout = c.cfg.Suspect
 	}
-	return t.ready && !t.Draining && now.Sub(t.lastContact) <= silence
+	return t.ready && !t.Draining && now.Sub(t.lastContact) <= contactTimeout
 }
 
-// maxFreeCPU returns the largest free processor room of any worker, so that jobs
-// that can not fit anywhere are passed over quickly under load.
+// maxFreeCPU returns the largest free CPU capacity of any worker. Under load it
+// lets placeWaiting skip jobs that fit nowhere.
 func maxFreeCPU(open []*target) int {
-	most := 0
+	maxFree := 0
 	for _, t := range open {
-		most = max(most, t.free().CPU)
+		maxFree = max(maxFree, t.free().CPU)
 	}
-	return most
+	return maxFree
 }
 
-// placeJob places what it can of a job and reports whether that was anything.
+// placeJob places as many tasks of a job as it can and reports whether it placed any.
 func (c *Core) placeJob(now time.Time, j *job, open []*target) bool {
-	before := j.pending
+	previous := j.pending
 	for i := range j.tasks {
 		if j.Step(i).Gang {
 			c.placeGang(now, j, i, open)
@@ -118,10 +120,10 @@
 			c.startRun(now, t, j, i, k, j.tasks[i][k].runNumber+1)
 		}
 	}
-	return j.pending < before
+	return j.pending < previous
 }
 
-// placeGang places all tasks of a step under one run number, or none.
+// placeGang places either all tasks of a step, under one run number, or none.
 func (c *Core) placeGang(now time.Time, j *job, slot int, open []*target) {
 	number := 0
 	for k := range j.tasks[slot] {
@@ -150,10 +152,10 @@
 	}
 }
 
-// chooseTarget returns the slowest worker with room that still meets the objective.
-// If only workers without room do, it returns nil: the task waits for one of
-// them as long as that can still be in time. Else it returns the fastest one
-// with room.
+// chooseTarget returns the slowest worker with free capacity that still meets the
+// objective. If only workers without free capacity meet it, chooseTarget returns
+// nil, and the task waits for one of them while that can still be in time.
+// Otherwise it returns the fastest worker with free capacity.
 func (c *Core) chooseTarget(now time.Time, j *job, slot int, open []*target) *target {
 	step := j.Step(slot)
 	nominal := c.expectedTime(j, slot)
@@ -183,16 +185,15 @@
 	return fastest
 }
 
-// The real work of a task may be this many times its estimate; the objective
-// follows the real work, too.
+// The real work of a task may be between these multiples of its estimate. The
+// objective scales with the real work, too.
 const (
 	minWorkFactor = 0.5
 	maxWorkFactor = 2.0
 )
 
-// meetsObjective reports whether a task that is placed now on a worker where it is
-// expected to take a time would meet the job's objective, be its real work
-// smaller or larger than estimated.
+// meetsObjective reports whether a task that is placed now and takes the given time
+// would meet the job's objective at both limits of its real work.
 func (c *Core) meetsObjective(now time.Time, j *job, took time.Duration) bool {
 	elapsed := now.Sub(j.receivedAt) + c.cfg.Margin
 	gain := float64(j.objective.Sub(j.receivedAt)-j.Queue.Target) - float64(took)
@@ -200,7 +201,7 @@
 	return fixed+minWorkFactor*gain >= 0 && fixed+maxWorkFactor*gain >= 0
 }
 
-// isBetter prefers the clearly slower worker, then the one with more room.
+// isBetter prefers the clearly slower worker, then the one with more free CPU.
 func isBetter(took time.Duration, t *target, bestTook time.Duration, best *target) bool {
 	if diff := took - bestTook; diff > bestTook/similarSpeedDivisor || -diff > bestTook/similarSpeedDivisor {
 		return took > bestTook
@@ -208,12 +209,12 @@
 	return t.free().CPU > best.free().CPU
 }
 
-// similarSpeedDivisor is the part of a run time below which two workers count as
-// equally fast: a fifth, since estimates are far less exact.
+// similarSpeedDivisor sets when two workers count as equally fast: their run times
+// differ by at most a fifth, since estimates are far less exact.
 const similarSpeedDivisor = 5
 
-// distanceFactor returns how many times as long a task takes on a worker as it would
-// near its data.
+// distanceFactor returns the run time of a task on a worker as a multiple of its run
+// time near its data.
 func (c *Core) distanceFactor(step *work.Step, t *target) float64 {
 	if step.Affinity != "" && !slices.Contains(t.Labels, step.Affinity) {
 		return max(c.cfg.Far, 1)
@@ -221,7 +222,7 @@
 	return 1
 }
 
-// isEligible reports whether a worker may run tasks of a step.
+// isEligible reports whether a worker may run tasks of a slot, free capacity aside.
 func (c *Core) isEligible(j *job, slot int, t *target) bool {
 	step := j.Step(slot)
 	if j.Stored && !c.tenureConfirmedBy(t) {
@@ -245,18 +246,18 @@
 	return n < step.MaxPerOne
 }
 
-// hasAlternative reports whether some worker of the service is not avoided.
-func (c *Core) hasAlternative(j *job, not *target) bool {
+// hasAlternative reports whether the job has another worker that it does not avoid.
+func (c *Core) hasAlternative(j *job, excluded *target) bool {
 	for _, name := range c.agentNames {
 		t := c.targets[name]
-		if t != not && t.ready && !t.Draining && t.Service == j.Queue.Service && !j.avoid[name] {
+		if t != excluded && t.ready && !t.Draining && t.Service == j.Queue.Service && !j.avoid[name] {
 			return true
 		}
 	}
 	return false
 }
 
-// startRun starts a run of a task.
+// startRun places a task on a worker and orders its agent to start the run.
 func (c *Core) startRun(now time.Time, t *target, j *job, slot, index, number int) {
 	run := j.currentRun(slot, index)
 	run.Number = number
@@ -265,26 +266,26 @@
 	if c.decisions.Starts == nil {
 		c.decisions.Starts = make(map[string][]work.Start)
 	}
-	here, expected := time.Duration(float64(step.Estimate)*c.distanceFactor(step, t)), tk.expected
+	estimate, expected := time.Duration(float64(step.Estimate)*c.distanceFactor(step, t)), tk.expected
 	if j.Lasts {
-		here, expected = 0, 0
+		estimate, expected = 0, 0
 	}
-	c.decisions.Starts[t.agent] = append(c.decisions.Starts[t.agent], work.Start{Run: run, Spec: j.Spec, Room: step.Room, Estimate: here, Expected: expected, Trace: j.Trace, Stored: j.Stored, Checkpoint: tk.checkpoint})
+	c.decisions.Starts[t.agent] = append(c.decisions.Starts[t.agent], work.Start{Run: run, Spec: j.Spec, Room: step.Room, Estimate: estimate, Expected: expected, Trace: j.Trace, Stored: j.Stored, Checkpoint: tk.checkpoint})
 }
 
-// placeRun notes that a run of a pending task is at a worker since began.
-func (c *Core) placeRun(began time.Time, t *target, j *job, run work.Run) *task {
+// placeRun records that a run of a pending task is on a worker since startedAt.
+func (c *Core) placeRun(startedAt time.Time, t *target, j *job, run work.Run) *task {
 	slot := j.Slot(run.Task)
 	step := j.Step(slot)
 	tk := &j.tasks[slot][run.Task.Index]
-	tk.state, tk.runNumber, tk.agent, tk.startedAt = placed, run.Number, t.agent, began
+	tk.state, tk.runNumber, tk.agent, tk.startedAt = placed, run.Number, t.agent, startedAt
 	tk.slowdown = t.slowdown
 	tk.expected = time.Duration(float64(c.expectedTime(j, slot)) * t.slowness() * c.distanceFactor(step, t))
 	j.pending--
 	c.queued--
 	j.running++
 	if !j.wasSent {
-		j.wasSent, j.firstPlacedAt = true, began
+		j.wasSent, j.firstPlacedAt = true, startedAt
 	}
 	t.runs[run.Task] = run
 	t.used = t.used.Add(step.Room)
--- a/schedule/report.go
+++ b/schedule/report.go
@@ -8,33 +8,33 @@
 	"masticbay/worker"
 )
 
-// Report is what an agent tells about itself and its worker.
+// Report is what an agent reports about itself and its worker.
 type Report struct {
 	Life    string // incarnation of the agent
 	Target  work.Target
 	Ready   bool      // it takes starts
-	Settled bool      // nothing runs there that this incarnation did not start
-	Others  work.Room // that runs of other entries take
-	Pace    Pace      // as the agent has seen it; told at the first contact
+	Settled bool      // no unknown runs: this incarnation has started all that run there
+	Others  work.Room // used by runs of other entries
+	Pace    Pace      // as the agent measured it; used at the first contact
 	Events  []Event
-	Idle    []work.Run   // runs that are not young and have made no progress
+	Idle    []work.Run   // stalled runs: mature, and without progress
 	Slow    []Projection // runs that go far slower than expected
-	Epoch   uint64       // of the tenure that the agent obeys
-	Asked   bool         // Kept was asked for and is complete
-	Kept    []Kept       // runs of stored jobs
+	Epoch   uint64       // of the tenure from which the agent takes stored jobs
+	Asked   bool         // Kept was requested and is complete
+	Kept    []Kept       // inherited runs: those of stored jobs that a previous holder placed
 }
 
-// Event tells how a run ended.
+// Event reports how a run ended.
 type Event = worker.Event
 
 // Pace is how long the worker's runs take against their estimates.
 type Pace = worker.Pace
 
-// Projection is how long a run that goes slowly will take at least.
+// Projection is the least run time to expect of a slow run.
 type Projection = worker.Projection
 
-// ReportOf returns what the guard of a worker has to tell a home, but for the
-// incarnation of the agent.
+// ReportOf returns the report of a worker's guard to a home, without the incarnation
+// of the agent.
 func ReportOf(g *worker.Guard, home string, acked uint64) Report {
 	t, serves := g.Target()
 	_, others := g.Used(home)
@@ -45,11 +45,11 @@
 	}
 }
 
-// startupTime is how long after a worker came into contact more are expected.
-// Until then no job is turned away for the work that waits before it.
+// startupTime is the time after the first contact of a worker during which more
+// workers are expected. Until then no job is rejected for the work that waits before it.
 const startupTime = 400 * time.Millisecond
 
-// Report takes what an agent told.
+// Report applies the report of an agent.
 func (c *Core) Report(now time.Time, agent string, r *Report) {
 	t, ok := c.targets[agent]
 	if !ok {
@@ -62,7 +62,7 @@
 	if t.life != r.Life {
 		if !r.Settled {
 			t.ready = false
-			return // what it ran before may not have ended yet
+			return // runs of its previous incarnation may not have ended yet
 		}
 		c.lapseRuns(now, t, "agent started anew", true)
 		t.life, t.lastSeq, t.confirmedEpoch, t.uncommitted = r.Life, 0, 0, nil
@@ -72,9 +72,9 @@
 		t.logSlowness, t.consecutiveFailures = movingMean{n: min(r.Pace.Runs, speedWindow), value: r.Pace.Log}, 0
 		t.updateSlowness()
 	}
-	more := r.Ready != t.ready || r.Target.Born != t.Born || r.Others != t.usedByOthers || now.Sub(t.lastContact) > c.cfg.Suspect
+	changed := r.Ready != t.ready || r.Target.Born != t.Born || r.Others != t.usedByOthers || now.Sub(t.lastContact) > c.cfg.Suspect
 	t.Target, t.ready, t.usedByOthers, t.lastContact = r.Target, r.Ready, r.Others, now
-	more = c.adopt(now, t, r) || more
+	changed = c.adopt(now, t, r) || changed
 	for _, e := range r.Events {
 		if e.Seq > t.lastSeq {
 			t.lastSeq = e.Seq
@@ -84,13 +84,13 @@
 	c.stopLasting(t)
 	c.takeStalled(now, t, r.Idle)
 	c.detectStraggler(now, t, r.Slow)
-	if more || len(r.Events) > 0 {
+	if changed || len(r.Events) > 0 {
 		c.placeWaiting(now)
 	}
 }
 
-// Taken returns the number of the last event of an agent that was taken, and the
-// incarnation of the agent that it belongs to.
+// Taken returns the sequence number of the last event received from an agent, and
+// the incarnation of the agent that sent it.
 func (c *Core) Taken(agent string) (life string, seq uint64) {
 	if t, ok := c.targets[agent]; ok {
 		return t.life, t.lastSeq
@@ -98,7 +98,7 @@
 	return "", 0
 }
 
-// Acked returns the number up to which an agent may forget its events.
+// Acked returns the sequence number up to which an agent may discard its events.
 func (c *Core) Acked(agent string) uint64 {
 	t, ok := c.targets[agent]
 	switch {
@@ -110,7 +110,8 @@
 	return t.lastSeq
 }
 
-// Lost tells that all runs at an agent have ended, as far as leases tell.
+// expireAgents ends the runs of agents that have been out of contact for longer than
+// the leases of these runs, and deletes agents after agentRetention.
 func (c *Core) expireAgents(now time.Time) {
 	for _, name := range c.agentNames {
 		t := c.targets[name]
@@ -128,20 +129,21 @@
 	})
 }
 
-// agentRetention is the silence after which nothing is kept about an agent.
+// agentRetention is the time without contact after which an agent without runs is
+// deleted.
 const agentRetention = 30 * time.Second
 
-// lapseRuns ends the runs at an agent, with or without those of stored jobs.
-func (c *Core) lapseRuns(now time.Time, t *target, reason string, stored bool) {
+// lapseRuns ends the runs at an agent as lapsed, with or without those of stored jobs.
+func (c *Core) lapseRuns(now time.Time, t *target, reason string, includeStored bool) {
 	for _, r := range t.sortedRuns() {
-		if j, ok := c.jobs[r.Task.Job]; ok && j.Stored && !stored {
+		if j, ok := c.jobs[r.Task.Job]; ok && j.Stored && !includeStored {
 			continue
 		}
 		c.applyEvent(now, t, Event{Run: r, End: work.Lapsed, Reason: reason})
 	}
 }
 
-// Uses reports whether something runs at an agent.
+// Uses reports whether an agent has runs of this home.
 func (c *Core) Uses(agent string) bool {
 	t, ok := c.targets[agent]
 	return ok && len(t.runs) > 0
--- a/schedule/slowness.go
+++ b/schedule/slowness.go
@@ -17,22 +17,22 @@
 }
 
 const (
-	speedWindow = 40 // runs; the estimates of single runs are off by 40%
+	speedWindow = 40 // runs; the estimates of single runs are wrong by 40%
 	biasWindow  = 300
-	kindWeight  = 4 // runs as which the mean of a worker's kind counts
+	kindWeight  = 4 // runs that the mean of a worker's kind counts for
 )
 
-// slowness returns how much longer than on a worker of speed 1 a run takes. A
-// worker of which little is known counts like the others of its kind.
+// slowness returns the run time on a worker as a multiple of that on a worker of
+// slowness 1. A worker with few runs so far counts like the others of its kind.
 func (t *target) slowness() float64 { return t.baseSlowness * t.slowdown }
 
-// updateSlowness computes the slowness from what is known.
+// updateSlowness computes the base slowness from the worker's own runs and its kind.
 func (t *target) updateSlowness() {
 	weight := float64(t.logSlowness.n) / float64(t.logSlowness.n+kindWeight)
 	t.baseSlowness = math.Exp(t.logSlowness.value*weight + t.kindSlowness*(1-weight))
 }
 
-// kind returns the label that tells the kind of a worker.
+// kind returns the service and first label of a worker, which name its kind.
 func (t *target) kind() string {
 	if len(t.Labels) == 0 {
 		return ""
@@ -40,7 +40,8 @@
 	return t.Service + "/" + t.Labels[0]
 }
 
-// updateKindSlowness gives every worker the mean of its kind.
+// updateKindSlowness computes the mean slowness of each kind and applies it to the
+// workers of the kind.
 func (c *Core) updateKindSlowness() {
 	sum, n := make(map[string]float64), make(map[string]float64)
 	for _, name := range c.agentNames {
@@ -55,11 +56,11 @@
 	}
 }
 
-// kindUpdateInterval is the pause between updates of the means of kinds.
+// kindUpdateInterval is the interval between updates of the means of kinds.
 const kindUpdateInterval = 100 * time.Millisecond
 
-// recordRunTime takes the run time of a task that was done. What a worker is slower than
-// usual for now is not learned as its speed.
+// recordRunTime updates the slowness of a worker and the bias of a queue by the run
+// time of a task that was done. A temporary slowdown is left out of the slowness.
 func (c *Core) recordRunTime(t *target, j *job, slot int, took time.Duration) {
 	t.consecutiveFailures = 0
 	est := j.Step(slot).Estimate
@@ -74,7 +75,7 @@
 	b.runTimeFactor = math.Exp(b.value)
 }
 
-// bias is how far off the estimates of a queue are.
+// bias is the mean error of a queue's estimates, as a log of the ratio.
 type bias struct {
 	movingMean
 	runTimeFactor float64 // run time over estimate on a worker of slowness 1
@@ -89,7 +90,7 @@
 	return b
 }
 
-// expectedTime returns the run time of a task of a step on a worker of slowness 1.
+// expectedTime returns the expected run time of a slot's task on a worker of slowness 1.
 func (c *Core) expectedTime(j *job, slot int) time.Duration {
 	est := max(j.Step(slot).Estimate, time.Millisecond)
 	return time.Duration(float64(est) * c.queueBias(j.Queue.Name).runTimeFactor)
--- a/schedule/stall.go
+++ b/schedule/stall.go
@@ -6,15 +6,15 @@
 	"masticbay/work"
 )
 
-// A run that makes progress is given up when it takes this many times as long
-// as expected, and then another worker tries. Estimates are off by up to four
+// A run that makes progress is abandoned when it takes overdueFactor times as long
+// as expected, and another worker gets the task. Estimates are wrong by up to four
 // times, and slow workers take up to seven times as long.
 const (
 	overdueFactor  = 12
 	minOverdueTime = time.Second
 )
 
-// abandonOverdue stops runs that take far longer than expected.
+// abandonOverdue abandons runs that take far longer than expected.
 func (c *Core) abandonOverdue(now time.Time) {
 	for _, name := range c.agentNames {
 		t := c.targets[name]
@@ -35,6 +35,7 @@
 	}
 }
 
+// abandonRun stops a run and counts it as a failure of its worker.
 func (c *Core) abandonRun(now time.Time, t *target, j *job, r work.Run, reason string) {
 	tk := &j.tasks[j.Slot(r.Task)][r.Task.Index]
 	c.addNote(Note{Job: j.ID, Agent: t.agent, Run: r, What: "runGivenUp", Why: reason,
@@ -44,9 +45,9 @@
 	c.stopTask(j, j.Slot(r.Task), r.Task.Index)
 }
 
-// takeStalled gives up runs that make no progress.
-func (c *Core) takeStalled(now time.Time, t *target, idle []work.Run) {
-	for _, r := range idle {
+// takeStalled abandons runs that make no progress.
+func (c *Core) takeStalled(now time.Time, t *target, stalled []work.Run) {
+	for _, r := range stalled {
 		current, ok := t.runs[r.Task]
 		j := c.jobs[r.Task.Job]
 		if !ok || current != r || j == nil || j.Lasts {
--- a/schedule/stop.go
+++ b/schedule/stop.go
@@ -6,19 +6,20 @@
 	"masticbay/work"
 )
 
-// stopAll stops the runs of a job that are expected to have more than rest to go, or
-// all of them.
-func (c *Core) stopAll(now time.Time, j *job, rest time.Duration) {
+// stopAll stops the runs of a job that are expected to go on for longer than
+// remaining; zero stops all of them.
+func (c *Core) stopAll(now time.Time, j *job, remaining time.Duration) {
 	for i := range j.tasks {
 		for k := range j.tasks[i] {
 			t := &j.tasks[i][k]
-			if t.state == placed && (rest == 0 || now.Add(rest).Before(t.startedAt.Add(t.expected))) {
+			if t.state == placed && (remaining == 0 || now.Add(remaining).Before(t.startedAt.Add(t.expected))) {
 				c.stopTask(j, i, k)
 			}
 		}
 	}
 }
 
+// stopTask orders a stop of a task's current run, once.
 func (c *Core) stopTask(j *job, slot, index int) {
 	t := &j.tasks[slot][index]
 	if t.stopping {
@@ -28,7 +29,7 @@
 	c.orderStop(t.agent, j.currentRun(slot, index))
 }
 
-// orderStop orders an agent to stop a run.
+// orderStop adds an order to an agent to stop a run.
 func (c *Core) orderStop(agent string, r work.Run) {
 	if c.decisions.Stops == nil {
 		c.decisions.Stops = make(map[string][]work.Run)
--- a/schedule/stored.go
+++ b/schedule/stored.go
@@ -8,26 +8,27 @@
 )
 
 // Stored jobs outlive their home. The entry that holds the ledger (package
-// ledger) places their tasks under its tenure; agents obey only the latest one
-// and keep the runs of the one before, which the new holder adopts. The end of a
-// run is saved in the ledger before its agent may forget it.
+// ledger) places their tasks under its tenure. Agents obey only the latest tenure
+// and keep the runs that the previous holder placed; the new holder adopts them.
+// The end of a run is committed to the ledger before its agent may discard it.
 
-// Tenure is the right to place the tasks of stored jobs.
+// Tenure is the ledger holder's term, a lease with an epoch: the right to place the
+// tasks of stored jobs.
 type Tenure struct {
-	Epoch uint64 // 0: there is no such right
-	// Until is when the right ends if it is not renewed.
+	Epoch uint64 // 0 if this home does not hold the tenure
+	// Until is when the tenure ends if it is not renewed.
 	Until time.Time
 	// Agents are those that may get tasks.
 	Agents map[string]bool
-	// Former are those that a former holder may have given tasks. No task is
-	// placed until each of them has confirmed this tenure, or Clear, when the
-	// leases of a holder without contact have ended.
+	// Former are the agents on which the previous holder may have placed tasks. No
+	// task is placed until each of them has confirmed this tenure, or until
+	// LeasesEndAt, when the leases that the previous holder granted have expired.
 	Former []string
 	Clear  time.Time
 }
 
-// Mark tells that a run of a stored job has ended as done or failed. Its agent
-// keeps the event until Saved is called.
+// Mark is the end of a run of a stored job, as done or failed, that the home has to
+// commit to the ledger. The agent retains the event until EventCommitted is called.
 type Mark struct {
 	Agent string
 	Life  string // incarnation of the agent
@@ -36,14 +37,14 @@
 	End   work.End
 }
 
-// Kept is a run of a stored job that an agent has from a former holder.
+// Kept is an inherited run: a run of a stored job that a previous holder placed.
 type Kept struct {
 	Run work.Run
 	Age time.Duration
 }
 
-// Hold sets the tenure. If it is over, stored jobs and their runs are forgotten:
-// another home has them.
+// Hold sets the tenure. If its epoch changes, the stored jobs and their runs are
+// dropped: they belong to another holder or are restored.
 func (c *Core) Hold(now time.Time, t Tenure) {
 	if t.Epoch != c.tenure.Epoch {
 		c.dropStoredJobs()
@@ -55,7 +56,7 @@
 func (c *Core) dropStoredJobs() {
 	for _, name := range c.agentNames {
 		t := c.targets[name]
-		t.confirmedEpoch = 0 // but unsaved stays: the next holder has to hear of those ends
+		t.confirmedEpoch = 0 // uncommitted stays: the agent has to report those ends to the next holder
 		for _, r := range t.sortedRuns() {
 			if j, ok := c.jobs[r.Task.Job]; ok && j.Stored {
 				delete(t.runs, r.Task)
@@ -73,7 +74,7 @@
 	c.timed = nil
 }
 
-// Admit returns why a new job should be rejected, and when to come back, or "".
+// Admit returns why a new stored job should be rejected, or "", and when to retry.
 func (c *Core) Admit(now time.Time, w *work.Job) (reason string, retry time.Duration) {
 	j := newJob(now, *w, 0)
 	if j.cutoff = c.cutoff(j); w.Lasts || w.Times > 0 {
@@ -85,7 +86,8 @@
 	return reason, retry
 }
 
-// Restore takes a job that has been stored, with what is done of it.
+// Restore adds a stored job from the ledger, with its finished tasks by slot and its
+// failed runs by task.
 func (c *Core) Restore(now time.Time, w work.Job, firstRun int, finished [][]int, failures map[work.TaskRef]int) {
 	if _, ok := c.jobs[w.ID]; ok {
 		return
@@ -114,7 +116,7 @@
 	c.placeWaiting(now)
 }
 
-// Cancel ends a stored job whose end has been saved, and stops its runs.
+// Cancel ends a stored job whose cancellation is committed, and stops its runs.
 func (c *Core) Cancel(now time.Time, id string) {
 	j, ok := c.jobs[id]
 	if !ok || j.answered {
@@ -125,24 +127,24 @@
 	c.placeWaiting(now)
 }
 
-// Begun reports whether something of a job was sent to an agent.
+// Begun reports whether any task of a job was sent to an agent.
 func (c *Core) Begun(id string) bool {
 	j, ok := c.jobs[id]
 	return ok && j.wasSent
 }
 
-// Saved lets an agent forget an event.
+// Saved records that an event is committed, so that its agent may discard it.
 func (c *Core) Saved(agent, life string, seq uint64) {
 	if t, ok := c.targets[agent]; ok && t.life == life {
 		t.uncommitted = slices.DeleteFunc(t.uncommitted, func(n uint64) bool { return n == seq })
 	}
 }
 
-// adopt takes the runs that an agent has from a former holder of the ledger, and
-// reports whether the agent has confirmed the tenure with this.
+// adopt takes over the runs that an agent has from a previous holder, and reports
+// whether the agent confirms the tenure with this report.
 func (c *Core) adopt(now time.Time, t *target, r *Report) bool {
 	if r.Epoch > c.highestEpoch || r.Epoch == c.tenure.Epoch && t.confirmedEpoch != r.Epoch && r.Asked {
-		t.uncommitted = nil // the agent tells these ends to the holder, maybe anew
+		t.uncommitted = nil // the agent reports these ends to the holder, maybe once more
 	}
 	if c.tenure.Epoch == 0 || r.Epoch != c.tenure.Epoch || t.confirmedEpoch == r.Epoch || !r.Asked {
 		return false
@@ -163,22 +165,22 @@
 	return true
 }
 
-// commitEnd notes that an event has to be saved before its agent forgets it.
+// commitEnd has the end of a run committed before its agent may discard the event.
 func (c *Core) commitEnd(t *target, e *Event) {
 	c.decisions.Marks = append(c.decisions.Marks, Mark{Agent: t.agent, Life: t.life, Seq: e.Seq, Run: e.Run, End: e.End})
 	t.uncommitted = append(t.uncommitted, e.Seq)
 }
 
-// leaveToHolder leaves the end of a run of a stored job to the holder of the ledger, if
-// this home is not it.
+// leaveToHolder leaves the end of a run of a stored job to the holder of the ledger,
+// unless this home is the holder.
 func (c *Core) leaveToHolder(t *target, e *Event) {
 	if e.Stored && t.confirmedEpoch == 0 {
 		t.uncommitted = append(t.uncommitted, e.Seq)
 	}
 }
 
-// adoptEnded makes the run of an event known that ended before its agent told that
-// it had it.
+// adoptEnded adopts a run that ended before its agent reported it as inherited, and
+// reports whether it did.
 func (c *Core) adoptEnded(now time.Time, t *target, e *Event) bool {
 	j, ok := c.jobs[e.Run.Task.Job]
 	if !ok || !j.Stored || e.End != work.Done && e.End != work.Failed || !c.awaitsPlacement(j, e.Run.Task) {
@@ -188,9 +190,9 @@
 	return true
 }
 
-// awaitsPlacement reports whether a task is to be placed, and makes it so if it waits for
-// earlier steps: a former home has started it, so these are done, and their agents
-// have not told yet.
+// awaitsPlacement reports whether a task is pending. A blocked task becomes pending
+// first: a previous home has started it, so the earlier steps are done, although
+// their agents have not reported that yet.
 func (c *Core) awaitsPlacement(j *job, ref work.TaskRef) bool {
 	tk := &j.tasks[j.Slot(ref)][ref.Index]
 	if tk.state == blocked {
@@ -201,8 +203,8 @@
 	return tk.state == pending
 }
 
-// previousRunsKnown reports whether no run of a former holder can be left that is not
-// known.
+// previousRunsKnown reports whether every run that a previous holder placed is known
+// or has ended.
 func (c *Core) previousRunsKnown(now time.Time) bool {
 	if now.After(c.tenure.Clear) {
 		return true
@@ -215,7 +217,7 @@
 	return true
 }
 
-// mayPlaceStored reports whether tasks of stored jobs may be placed now.
+// mayPlaceStored reports whether tasks of stored jobs may be placed at this time.
 func (c *Core) mayPlaceStored(now time.Time) bool {
 	return c.tenure.Epoch > 0 && now.Before(c.tenure.Until) && c.previousRunsKnown(now)
 }
@@ -226,20 +228,21 @@
 	return ok && t.confirmedEpoch == c.tenure.Epoch
 }
 
-// Heard reports whether an agent is in contact, or has been until a moment ago so
-// that something may run there.
+// Heard reports whether an agent is in contact, or was so recently that runs of
+// stored jobs may go on there.
 func (c *Core) Heard(now time.Time, agent string) bool {
 	t, ok := c.targets[agent]
 	return ok && now.Sub(t.lastContact) <= c.cfg.LostHeld
 }
 
-// tenureConfirmedBy reports whether a worker's agent takes tasks of stored jobs from here.
+// tenureConfirmedBy reports whether a worker's agent has confirmed the tenure and may
+// get tasks of stored jobs.
 func (c *Core) tenureConfirmedBy(t *target) bool {
 	return t.confirmedEpoch == c.tenure.Epoch && c.tenure.Agents[t.agent]
 }
 
-// demoteLate puts the jobs behind the others of their priority that can no longer be in
-// time for their callers. They have to be done all the same.
+// demoteLate moves stored jobs that are past their cutoff behind all jobs that are
+// not. They still have to be done.
 func (c *Core) demoteLate(now time.Time) {
 	for _, j := range slices.Clone(c.waiting) {
 		if j.Stored && !j.Lasts && j.Times == 0 && !j.missesDeadline && now.After(j.cutoff) {
--- a/schedule/straggler.go
+++ b/schedule/straggler.go
@@ -9,22 +9,22 @@
 	"masticbay/worker"
 )
 
-// What answers workers that turn slow under load. Ends tell it late, since runs
-// there take long: until the first of them end, a worker's slots fill with tasks
-// again and again. Progress tells it after some tens of milliseconds.
+// This file detects workers that become slow under load (stragglers). The ends of
+// runs show it late, since runs on a slow worker take long: until the first of them
+// end, its slots fill with tasks again and again. The progress of runs shows it after
+// some tens of milliseconds.
 
-// A worker counts as slow when runs of slowJobs jobs go slowly there, and these
-// are at least half of its runs that are not young and of those that ended as
-// expected a moment ago; without the latter, what is left of runs would be those
-// with wrong estimates. One job proves nothing: the estimates of its tasks are
-// wrong together.
+// A worker counts as slow when runs of minSlowJobs jobs are slow there, and these are
+// at least half of its mature runs and of those that ended normally in recentWindow.
+// Without the latter, the remaining runs would mostly be those with wrong estimates.
+// One job proves nothing: the estimates of its tasks are wrong together.
 const (
 	minSlowJobs  = 2
-	matureAge    = 60 * time.Millisecond  // within it a slow run may not current been seen as such
-	recentWindow = 200 * time.Millisecond // about the time of a task
+	matureAge    = 60 * time.Millisecond  // a younger run may be slow without being detected
+	recentWindow = 200 * time.Millisecond // about the run time of a task
 )
 
-// normalEnds are the times at which runs ended about as expected, a moment ago.
+// normalEnds holds the times at which runs ended about as expected, within recentWindow.
 type normalEnds []time.Time
 
 func (s *normalEnds) add(now time.Time, took, expected time.Duration) {
@@ -34,17 +34,18 @@
 	}
 }
 
-// countRecent forgets what is older than recentEnds, and returns how many are left.
+// countRecent drops times older than recentWindow and returns how many are left.
 func (s *normalEnds) countRecent(now time.Time) int {
 	*s = slices.DeleteFunc(*s, func(at time.Time) bool { return now.Sub(at) > recentWindow })
 	return len(*s)
 }
 
-// slowdownExpiry is how long after the last sign a worker counts as slow. Then a few
-// tasks find out.
+// slowdownExpiry is how long a worker counts as slow after the last observation. Then
+// a few tasks show whether it still is.
 const slowdownExpiry = 1500 * time.Millisecond
 
-// detectStraggler takes the projections of runs that go far slower than expected.
+// detectStraggler decides from the projections of slow runs whether a worker is slow,
+// and moves such runs to other workers.
 func (c *Core) detectStraggler(now time.Time, t *target, slow []Projection) {
 	jobs := make(map[string]bool)
 	sum, n := 0.0, 0
@@ -69,7 +70,7 @@
 	}
 }
 
-// placedTask returns the task of a run that is at work on a worker, or nil.
+// placedTask returns the task of a run that is on a worker, or nil.
 func (c *Core) placedTask(t *target, r work.Run) *task {
 	current, ok := t.runs[r.Task]
 	j := c.jobs[r.Task.Job]
@@ -79,7 +80,7 @@
 	return &j.tasks[j.Slot(r.Task)][r.Task.Index]
 }
 
-// countMatureRuns returns how many runs on a worker are not young.
+// countMatureRuns returns how many runs on a worker are older than matureAge.
 func (c *Core) countMatureRuns(now time.Time, t *target) (n int) {
 	for _, r := range t.runs {
 		if tk := c.placedTask(t, r); tk != nil && now.Sub(tk.startedAt) > matureAge {
@@ -89,46 +90,45 @@
 	return n
 }
 
-// stopCost is what it costs to move a run: the worker takes up to 50 ms to stop
-// it, and messages go to and fro.
+// stopCost is the time that moving a run costs: the worker takes up to 50 ms to stop
+// it, and messages are exchanged.
 const stopCost = 60 * time.Millisecond
 
-// moveStraggler stops a run on a slow worker that would miss the objective there and end
-// clearly sooner on another worker with room.
+// moveStraggler stops a run that would miss the objective on its slow worker and
+// would end clearly sooner on another worker with free capacity.
 func (c *Core) moveStraggler(now time.Time, t *target, p Projection) {
 	tk := c.placedTask(t, p.Run)
 	j := c.jobs[p.Run.Task.Job]
 	if tk == nil || tk.stopping || j.answered {
 		return
 	}
-	left := tk.startedAt.Add(p.Took).Sub(now)
-	if !now.Add(left).After(j.objective) {
+	remaining := tk.startedAt.Add(p.Took).Sub(now)
+	if !now.Add(remaining).After(j.objective) {
 		return
 	}
 	step := j.Step(j.Slot(p.Run.Task))
 	if step.Gang {
-		return // its other members would end, too
+		return // the other members of the gang would end, too
 	}
 	nominal := c.expectedTime(j, j.Slot(p.Run.Task))
 	for _, o := range c.openTargets(now) {
-		there := stopCost + time.Duration(float64(nominal)*o.slowness()*c.distanceFactor(step, o))
-		if o == t || !c.isEligible(j, j.Slot(p.Run.Task), o) || !o.free().Holds(step.Room) || minMoveGain*there > left {
+		elsewhere := stopCost + time.Duration(float64(nominal)*o.slowness()*c.distanceFactor(step, o))
+		if o == t || !c.isEligible(j, j.Slot(p.Run.Task), o) || !o.free().Holds(step.Room) || minMoveGain*elsewhere > remaining {
 			continue
 		}
 		c.addNote(Note{Job: j.ID, Agent: t.agent, Run: p.Run, What: "runMoved", Why: "its worker is slow",
-			Values: map[string]float64{"leftMs": ms(left), "thereMs": ms(there), "ranMs": ms(now.Sub(tk.startedAt))}})
+			Values: map[string]float64{"leftMs": ms(remaining), "thereMs": ms(elsewhere), "ranMs": ms(now.Sub(tk.startedAt))}})
 		j.avoidAgent(t.agent)
 		c.stopTask(j, j.Slot(p.Run.Task), p.Run.Task.Index)
 		return
 	}
 }
 
-// minMoveGain is how many times as long a run has to go on as it would take
-// elsewhere, stop included, to be moved.
+// minMoveGain is the least ratio of a run's remaining time to its time on another
+// worker, stop included, for which it is moved.
 const minMoveGain = 2
 
-// expireSlowdowns lets workers count as usual of whose slowness nothing was seen for
-// long.
+// expireSlowdowns resets the slowdown of workers after slowdownExpiry.
 func (c *Core) expireSlowdowns(now time.Time) {
 	for _, name := range c.agentNames {
 		if t := c.targets[name]; t.slowdown > 1 && now.Sub(t.lastSlow) > slowdownExpiry {
--- a/schedule/straggler_test.go
+++ b/schedule/straggler_test.go
@@ -9,86 +9,87 @@
 	"masticbay/work"
 )
 
-// reportSlow tells that runs at an agent will take a multiple of what was expected.
-func (d *harness) reportSlow(agent string, took time.Duration, runs ...work.Run) {
-	r := &schedule.Report{Life: "1", Target: d.agents[agent], Ready: true, Settled: true}
+// reportSlow reports runs at an agent as slow, with a projected run time.
+func (h *harness) reportSlow(agent string, took time.Duration, runs ...work.Run) {
+	r := &schedule.Report{Life: "1", Target: h.agents[agent], Ready: true, Settled: true}
 	for _, run := range runs {
 		r.Slow = append(r.Slow, schedule.Projection{Run: run, Took: took})
 	}
-	d.c.Report(d.now, agent, r)
-	d.collect()
+	h.c.Report(h.now, agent, r)
+	h.collect()
 }
 
-// TestWorkerThatTurnsSlow: runs of several jobs go far slower than expected. The
-// worker gets nothing that would be late there, and what can be in time
-// elsewhere is moved.
-func TestWorkerThatTurnsSlow(t *testing.T) {
-	d := newHarness(t)
-	d.addAgent("a", 2)
-	d.submit(job("j1", 0, 1, 200*time.Millisecond))
-	d.submit(job("j2", 0, 1, 200*time.Millisecond))
-	d.wantStarts("a", 2)
-	d.addAgent("b", 2)
-	d.advance(40 * time.Millisecond)
-	d.reportSlow("a", 1300*time.Millisecond, d.starts["a"]...)
-	if n := len(d.stops["a"]); n != 2 {
+// TestRunsOfASlowWorkerAreMoved covers a worker where runs of several jobs are far slower
+// than expected: it gets no task that would be late there, and runs that can be in
+// time on another worker are moved.
+func TestRunsOfASlowWorkerAreMoved(t *testing.T) {
+	h := newHarness(t)
+	h.addAgent("a", 2)
+	h.submit(job("j1", 0, 1, 200*time.Millisecond))
+	h.submit(job("j2", 0, 1, 200*time.Millisecond))
+	h.wantStarts("a", 2)
+	h.addAgent("b", 2)
+	h.advance(40 * time.Millisecond)
+	h.reportSlow("a", 1300*time.Millisecond, h.starts["a"]...)
+	if n := len(h.stops["a"]); n != 2 {
 		t.Fatalf("%d runs were stopped, want 2", n)
 	}
-	for _, r := range d.starts["a"] {
-		d.endRun("a", r, work.Stopped, 90*time.Millisecond)
+	for _, r := range h.starts["a"] {
+		h.endRun("a", r, work.Stopped, 90*time.Millisecond)
 	}
-	d.wantStarts("b", 2)
-	d.submit(job("j3", 0, 1, 200*time.Millisecond))
-	d.wantStarts("a", 2)
+	h.wantStarts("b", 2)
+	h.submit(job("j3", 0, 1, 200*time.Millisecond))
+	h.wantStarts("a", 2)
 }
 
-// TestSlowWorkerIsTriedAgain: nothing has been seen of its slowness for a while.
-func TestSlowWorkerIsTriedAgain(t *testing.T) {
-	d := newHarness(t)
-	d.addAgent("a", 2)
-	d.submit(job("j1", 0, 1, 200*time.Millisecond))
-	d.submit(job("j2", 0, 1, 200*time.Millisecond))
-	d.reportSlow("a", 1300*time.Millisecond, d.starts["a"]...)
-	for _, r := range d.starts["a"] {
-		d.endRun("a", r, work.Done, 1300*time.Millisecond)
+// TestSlowdownOfAWorkerExpires checks that the slowdown of a worker expires when it is
+// no longer observed.
+func TestSlowdownOfAWorkerExpires(t *testing.T) {
+	h := newHarness(t)
+	h.addAgent("a", 2)
+	h.submit(job("j1", 0, 1, 200*time.Millisecond))
+	h.submit(job("j2", 0, 1, 200*time.Millisecond))
+	h.reportSlow("a", 1300*time.Millisecond, h.starts["a"]...)
+	for _, r := range h.starts["a"] {
+		h.endRun("a", r, work.Done, 1300*time.Millisecond)
 	}
-	d.advance(2 * time.Second)
-	d.addAgent("b", 2)
-	d.submit(job("j3", 0, 2, 2*time.Second))
-	d.submit(job("j4", 0, 2, 2*time.Second))
-	d.wantStarts("a", 4)
+	h.advance(2 * time.Second)
+	h.addAgent("b", 2)
+	h.submit(job("j3", 0, 2, 2*time.Second))
+	h.submit(job("j4", 0, 2, 2*time.Second))
+	h.wantStarts("a", 4)
 }
 
-// TestWrongEstimatesAmongManyEnds: what is left of the runs are those with wrong
-// estimates, but many others have ended as expected meanwhile.
+// TestWrongEstimatesAmongManyEnds checks that a worker does not count as slow when
+// only the runs with wrong estimates remain and many others have ended as expected.
 func TestWrongEstimatesAmongManyEnds(t *testing.T) {
-	d := newHarness(t)
-	d.addAgent("a", 8)
+	h := newHarness(t)
+	h.addAgent("a", 8)
 	for i := range 8 {
-		d.submit(job("j"+strconv.Itoa(i), 0, 1, 100*time.Millisecond))
+		h.submit(job("j"+strconv.Itoa(i), 0, 1, 100*time.Millisecond))
 	}
-	d.addAgent("b", 8)
-	d.advance(100 * time.Millisecond)
-	for _, r := range d.starts["a"][2:] {
-		d.endRun("a", r, work.Done, 100*time.Millisecond)
+	h.addAgent("b", 8)
+	h.advance(100 * time.Millisecond)
+	for _, r := range h.starts["a"][2:] {
+		h.endRun("a", r, work.Done, 100*time.Millisecond)
 	}
-	d.reportSlow("a", 300*time.Millisecond, d.starts["a"][:2]...)
-	if n := len(d.stops["a"]); n != 0 {
+	h.reportSlow("a", 300*time.Millisecond, h.starts["a"][:2]...)
+	if n := len(h.stops["a"]); n != 0 {
 		t.Errorf("%d runs were stopped, want none", n)
 	}
 }
 
-// TestWrongEstimateIsNotASlowWorker: the tasks of one job take far longer than
-// estimated, others do not.
+// TestWrongEstimateIsNotASlowWorker checks that a worker does not count as slow when
+// only the tasks of one job take far longer than estimated.
 func TestWrongEstimateIsNotASlowWorker(t *testing.T) {
-	d := newHarness(t)
-	d.addAgent("a", 4)
-	d.submit(job("j1", 0, 2, 200*time.Millisecond))
-	d.submit(job("j2", 0, 1, 200*time.Millisecond))
-	d.addAgent("b", 4)
-	d.advance(80 * time.Millisecond)
-	d.reportSlow("a", 600*time.Millisecond, d.starts["a"][0], d.starts["a"][1])
-	if n := len(d.stops["a"]); n != 0 {
+	h := newHarness(t)
+	h.addAgent("a", 4)
+	h.submit(job("j1", 0, 2, 200*time.Millisecond))
+	h.submit(job("j2", 0, 1, 200*time.Millisecond))
+	h.addAgent("b", 4)
+	h.advance(80 * time.Millisecond)
+	h.reportSlow("a", 600*time.Millisecond, h.starts["a"][0], h.starts["a"][1])
+	if n := len(h.stops["a"]); n != 0 {
 		t.Errorf("%d runs were stopped, want none", n)
 	}
 }
--- a/schedule/target.go
+++ b/schedule/target.go
@@ -8,33 +8,33 @@
 	"masticbay/work"
 )
 
-// target is a worker behind its agent.
+// target is a worker and the agent beside it.
 type target struct {
 	work.Target
 	agent               string
 	life                string // incarnation of the agent
 	lastContact         time.Time
 	ready               bool      // the agent takes starts
-	used                work.Room // by runs that were placed here
-	usedByOthers        work.Room // by runs of other entries, as told
+	used                work.Room // by runs that this home placed
+	usedByOthers        work.Room // by runs of other entries, as reported
 	runs                map[work.TaskRef]work.Run
-	lastSeq             uint64     // last event that was taken
-	baseSlowness        float64    // slowness, computed from slow and prior
-	kindSlowness        float64    // mean of slow over the workers of its kind
-	logSlowness         movingMean // log of run time over expected time on a worker of speed 1
-	slowdown            float64    // how many times as slow as usual it is; 1 if it is not
-	lastSlow            time.Time  // when that was seen last
-	normalRuns          normalEnds // what speaks against that
-	consecutiveFailures int        // failures in a row
-	backoffUntil        time.Time  // no placement before
-	confirmedEpoch      uint64     // that the agent has confirmed
-	uncommitted         []uint64   // events that the agent has to keep for now
+	lastSeq             uint64     // of the last event received
+	baseSlowness        float64    // computed from logSlowness and kindSlowness
+	kindSlowness        float64    // mean of logSlowness over the workers of its kind
+	logSlowness         movingMean // log of run time over expected time on a worker of slowness 1
+	slowdown            float64    // current run time as a multiple of the usual; 1 if it is not slow
+	lastSlow            time.Time  // when slowdown was last observed
+	normalRuns          normalEnds // recent ends of runs that were not slow
+	consecutiveFailures int        // runs that failed or stalled
+	backoffUntil        time.Time  // no task is placed before
+	confirmedEpoch      uint64     // of the tenure that the agent has confirmed; 0 for none
+	uncommitted         []uint64   // sequence numbers of events that the agent must not discard yet
 }
 
 func (t *target) free() work.Room { return t.Capacity.Sub(t.used).Sub(t.usedByOthers) }
 
 // sortedRuns returns the runs in a fixed order, so that decisions do not depend on
-// the order of a map.
+// map order.
 func (t *target) sortedRuns() []work.Run {
 	return slices.SortedFunc(maps.Values(t.runs), func(a, b work.Run) int { return a.Task.Compare(b.Task) })
 }
--- a/schedule/timed.go
+++ b/schedule/timed.go
@@ -7,31 +7,31 @@
 	"masticbay/work"
 )
 
-// Jobs that run at set times, and jobs whose tasks last until they are cancelled.
-// Both are stored.
+// This file handles timed jobs, whose occurrences start at set times, and lasting
+// jobs, whose tasks run until the job is cancelled. Both are stored.
 
-// noDeadline is far longer than work waits: jobs without a time by which they have to
-// end are not rejected for what waits before them.
+// noDeadline is far longer than any wait, so that jobs without a deadline are not
+// rejected for the work that waits before them.
 const noDeadline = 24 * time.Hour
 
-// unblockTimed makes the tasks of occurrences pending whose time has come. The times of
-// jobs are those of the home's clock here.
+// unblockTimed makes the tasks of due occurrences pending. An occurrence is due by
+// the clock of the home.
 func (c *Core) unblockTimed(now time.Time) {
 	c.timed = slices.DeleteFunc(c.timed, func(j *job) bool {
 		if j.answered {
 			return true
 		}
-		before := j.pending
+		previous := j.pending
 		c.unblock(now, j)
-		if j.pending > before {
+		if j.pending > previous {
 			c.enqueue(j)
 		}
 		return !now.Before(j.Due(j.Slots() - 1))
 	})
 }
 
-// restartTask makes a task pending again that has to run until its job is cancelled. A
-// worker where it failed gets it again only if there is no other.
+// restartTask requeues a task of a lasting job. A worker where it failed gets it
+// again only if there is no other.
 func (c *Core) restartTask(now time.Time, t *target, j *job, slot, index int, end work.End) {
 	if end == work.Failed {
 		c.countFailure(now, t)
@@ -42,8 +42,8 @@
 	}
 }
 
-// stopLasting stops the tasks that last on a worker that is about to leave, so that they
-// go on elsewhere.
+// stopLasting stops the tasks of lasting jobs on a draining worker, so that they
+// restart on other workers.
 func (c *Core) stopLasting(t *target) {
 	if !t.Draining {
 		return
@@ -55,7 +55,8 @@
 	}
 }
 
-// setCheckpoint notes where a task can resume. Any member of a gang speaks for all.
+// setCheckpoint records where a task can resume. The checkpoint of a gang's member
+// holds for all its members.
 func (j *job) setCheckpoint(slot, index int, checkpoint string) {
 	if !j.Step(slot).Gang {
 		j.tasks[slot][index].checkpoint = checkpoint
--- a/schedule/timed_test.go
+++ b/schedule/timed_test.go
@@ -8,122 +8,122 @@
 	"masticbay/work"
 )
 
-// advanceConfirmed lets time go on while the agents confirm the tenure.
-func (d *harness) advanceConfirmed(span time.Duration) {
-	for end := d.now.Add(span); d.now.Before(end); {
-		d.now = d.now.Add(10 * time.Millisecond)
-		for a := range d.agents {
-			d.confirm(a, 1, nil)
+// advanceConfirmed moves time on while all agents confirm the tenure.
+func (h *harness) advanceConfirmed(span time.Duration) {
+	for end := h.now.Add(span); h.now.Before(end); {
+		h.now = h.now.Add(10 * time.Millisecond)
+		for a := range h.agents {
+			h.confirm(a, 1, nil)
 		}
-		d.c.Tick(d.now)
-		d.collect()
+		h.c.Tick(h.now)
+		h.collect()
 	}
 }
 
-func (d *harness) restoreStored(j work.Job) {
+func (h *harness) restoreStored(j work.Job) {
 	j.Stored = true
-	d.c.Restore(d.now, j, 0, nil, nil)
-	d.collect()
+	h.c.Restore(h.now, j, 0, nil, nil)
+	h.collect()
 }
 
 func TestOccurrencesStartAtTheirTimes(t *testing.T) {
-	d := newTenureHarness(t, 4, "a")
+	h := newTenureHarness(t, 4, "a")
 	j := job("j", 0, 1, 10*time.Millisecond)
-	j.Times, j.First, j.Every = 2, d.now.Add(time.Second), time.Second
-	d.restoreStored(j)
-	d.advanceConfirmed(990 * time.Millisecond)
-	d.wantStarts("a", 0)
-	d.advanceConfirmed(20 * time.Millisecond)
-	d.wantStarts("a", 1)
-	d.confirm("a", 1, nil, schedule.Event{Run: d.starts["a"][0], End: work.Done})
-	if _, over := d.outcomes["j"]; over {
+	j.Times, j.First, j.Every = 2, h.now.Add(time.Second), time.Second
+	h.restoreStored(j)
+	h.advanceConfirmed(990 * time.Millisecond)
+	h.wantStarts("a", 0)
+	h.advanceConfirmed(20 * time.Millisecond)
+	h.wantStarts("a", 1)
+	h.confirm("a", 1, nil, schedule.Event{Run: h.starts["a"][0], End: work.Done})
+	if _, ended := h.outcomes["j"]; ended {
 		t.Error("ended after the first of two occurrences")
 	}
-	d.advanceConfirmed(time.Second)
-	d.wantStarts("a", 2)
-	if r := d.starts["a"][1]; r.Task.Occurrence != 1 || r.Task.Step != 0 {
+	h.advanceConfirmed(time.Second)
+	h.wantStarts("a", 2)
+	if r := h.starts["a"][1]; r.Task.Occurrence != 1 || r.Task.Step != 0 {
 		t.Errorf("second start %v", r)
 	}
-	d.confirm("a", 1, nil, schedule.Event{Run: d.starts["a"][1], End: work.Done})
-	d.wantOutcome("j", work.Completed)
+	h.confirm("a", 1, nil, schedule.Event{Run: h.starts["a"][1], End: work.Done})
+	h.wantOutcome("j", work.Completed)
 }
 
 func TestOccurrencesKeepTheOrderOfTheirSteps(t *testing.T) {
-	d := newTenureHarness(t, 4, "a")
+	h := newTenureHarness(t, 4, "a")
 	j := job("j", 0, 1, 10*time.Millisecond)
 	j.Steps = append(j.Steps, j.Steps[0])
 	j.Steps[1].After = []int{0}
-	j.Times, j.First, j.Every = 2, d.now, time.Second
-	d.restoreStored(j)
-	d.advanceConfirmed(1100 * time.Millisecond) // both occurrences have begun, and no first step is done
-	d.wantStarts("a", 2)
-	d.confirm("a", 1, nil, schedule.Event{Run: d.starts["a"][1], End: work.Done})
-	if got := d.starts["a"]; len(got) != 3 || got[2].Task.Occurrence != 1 || got[2].Task.Step != 1 {
+	j.Times, j.First, j.Every = 2, h.now, time.Second
+	h.restoreStored(j)
+	h.advanceConfirmed(1100 * time.Millisecond) // both occurrences have begun, and no first step is done
+	h.wantStarts("a", 2)
+	h.confirm("a", 1, nil, schedule.Event{Run: h.starts["a"][1], End: work.Done})
+	if got := h.starts["a"]; len(got) != 3 || got[2].Task.Occurrence != 1 || got[2].Task.Step != 1 {
 		t.Errorf("starts %v", got)
 	}
 }
 
 func TestLastingTasksStartAgainHoweverTheyEnd(t *testing.T) {
-	d := newTenureHarness(t, 4, "a")
+	h := newTenureHarness(t, 4, "a")
 	j := job("j", 0, 1, 0)
 	j.Lasts = true
-	d.restoreStored(j)
+	h.restoreStored(j)
 	for i, end := range []work.End{work.Done, work.Failed, work.Failed, work.Failed, work.Lapsed} {
-		d.advanceConfirmed(2 * time.Second) // also past the quarantine of the only worker
-		d.wantStarts("a", i+1)
-		d.confirm("a", 1, nil, schedule.Event{Run: d.starts["a"][i], End: end})
+		h.advanceConfirmed(2 * time.Second) // also past the quarantine of the only worker
+		h.wantStarts("a", i+1)
+		h.confirm("a", 1, nil, schedule.Event{Run: h.starts["a"][i], End: end})
 	}
-	if _, over := d.outcomes["j"]; over || len(d.stops["a"]) != 0 {
-		t.Errorf("ended %t, stops %v", over, d.stops)
+	if _, ended := h.outcomes["j"]; ended || len(h.stops["a"]) != 0 {
+		t.Errorf("ended %t, stops %v", ended, h.stops)
 	}
-	d.advanceConfirmed(time.Minute)
-	d.c.Cancel(d.now, "j")
-	d.collect()
-	if len(d.stops["a"]) != 1 {
-		t.Errorf("stops after the cancellation: %v", d.stops)
+	h.advanceConfirmed(time.Minute)
+	h.c.Cancel(h.now, "j")
+	h.collect()
+	if len(h.stops["a"]) != 1 {
+		t.Errorf("stops after the cancellation: %v", h.stops)
 	}
 }
 
 func TestLastingTasksLeaveADrainingWorker(t *testing.T) {
-	d := newTenureHarness(t, 4, "a")
+	h := newTenureHarness(t, 4, "a")
 	j := job("j", 0, 1, 0)
 	j.Lasts = true
-	d.restoreStored(j)
-	d.addAgent("b", 4)
-	d.setTenure(1)
-	a := d.agents["a"]
+	h.restoreStored(j)
+	h.addAgent("b", 4)
+	h.setTenure(1)
+	a := h.agents["a"]
 	a.Draining = true
-	d.agents["a"] = a
-	d.confirm("b", 1, nil)
-	d.confirm("a", 1, nil)
-	if len(d.stops["a"]) != 1 {
-		t.Fatalf("stops %v", d.stops)
+	h.agents["a"] = a
+	h.confirm("b", 1, nil)
+	h.confirm("a", 1, nil)
+	if len(h.stops["a"]) != 1 {
+		t.Fatalf("stops %v", h.stops)
 	}
-	d.confirm("a", 1, nil, schedule.Event{Run: d.starts["a"][0], End: work.Stopped})
-	d.wantStarts("b", 1)
+	h.confirm("a", 1, nil, schedule.Event{Run: h.starts["a"][0], End: work.Stopped})
+	h.wantStarts("b", 1)
 }
 
 func TestFailuresOfAnOccurrenceAreRestored(t *testing.T) {
-	d := newTenureHarness(t, 4, "a")
+	h := newTenureHarness(t, 4, "a")
 	j := job("j", 0, 1, 10*time.Millisecond)
-	j.Times, j.First, j.Every, j.Stored = 2, d.now.Add(-time.Second), time.Second, true
+	j.Times, j.First, j.Every, j.Stored = 2, h.now.Add(-time.Second), time.Second, true
 	second := work.TaskRef{Job: "j", Occurrence: 1}
-	d.c.Restore(d.now, j, 0, [][]int{{0}, nil}, map[work.TaskRef]int{second: j.Queue.MaxAttempts - 1})
-	d.collect()
-	d.wantStarts("a", 1)
-	d.confirm("a", 1, nil, schedule.Event{Run: d.starts["a"][0], End: work.Failed})
-	d.wantOutcome("j", work.JobFailed)
+	h.c.Restore(h.now, j, 0, [][]int{{0}, nil}, map[work.TaskRef]int{second: j.Queue.MaxAttempts - 1})
+	h.collect()
+	h.wantStarts("a", 1)
+	h.confirm("a", 1, nil, schedule.Event{Run: h.starts["a"][0], End: work.Failed})
+	h.wantOutcome("j", work.JobFailed)
 }
 
 func TestTaskResumesFromItsCheckpoint(t *testing.T) {
-	d := newTenureHarness(t, 4, "a")
+	h := newTenureHarness(t, 4, "a")
 	j := job("j", 0, 1, time.Second)
 	j.Steps[0].Checkpoint = true
-	d.restoreStored(j)
-	d.now = d.now.Add(time.Millisecond)
-	d.c.Report(d.now, "a", &schedule.Report{Life: "1", Target: d.agents["a"], Ready: true, Settled: true, Epoch: 1,
-		Events: []schedule.Event{{Seq: 1, Run: d.starts["a"][0], End: work.Lapsed, Checkpoint: "c1", Stored: true}}})
-	decisions := d.c.Take()
+	h.restoreStored(j)
+	h.now = h.now.Add(time.Millisecond)
+	h.c.Report(h.now, "a", &schedule.Report{Life: "1", Target: h.agents["a"], Ready: true, Settled: true, Epoch: 1,
+		Events: []schedule.Event{{Seq: 1, Run: h.starts["a"][0], End: work.Lapsed, Checkpoint: "c1", Stored: true}}})
+	decisions := h.c.Take()
 	if got := decisions.Starts["a"]; len(got) != 1 || got[0].Checkpoint != "c1" {
 		t.Errorf("starts %+v", got)
 	}
