--- a/schedule/core.go
+++ b/schedule/core.go
@@ -10,8 +10,9 @@
 // which it is a good choice: the slowest worker that still meets the job's
 // objective, so that fast workers stay free for the tasks that need them.
 //
-// A job that can not end before its cutoff, a hard deadline, is rejected as soon
-// as that is known, and only while none of its tasks has been sent to an agent.
+// A job's cutoff is its hard deadline: its caller leaves then, or its end is of no
+// use any more. A job that can not end before its cutoff is rejected as soon as that
+// is known, and only while none of its tasks has been sent to an agent.
 //
 // A run ends when its agent reports an event, or when the agent has been out of
 // contact for so long that both leases of the run have expired. Only then may the
--- a/schedule/end.go
+++ b/schedule/end.go
@@ -134,20 +134,20 @@
 	c.enqueue(j)
 }
 
-// backOff places no tasks for a while on a worker that refused a start.
+// backOff keeps tasks away from a worker that refused a start, for a backoff time.
 func (c *Core) backOff(now time.Time, t *target, e Event) {
-	pause := time.Duration(0)
+	backoff := time.Duration(0)
 	switch {
 	case e.End != work.Refused:
 		return
 	case e.Reason == refusedUnwell:
-		pause = unwellBackoff
+		backoff = unwellBackoff
 	case e.Reason == refusedOld:
 		return
 	default:
-		pause = noRoomBackoff
+		backoff = noRoomBackoff
 	}
-	if until := now.Add(pause); until.After(t.backoffUntil) {
+	if until := now.Add(backoff); until.After(t.backoffUntil) {
 		t.backoffUntil = until
 	}
 }
--- a/schedule/end_test.go
+++ b/schedule/end_test.go
@@ -17,7 +17,7 @@
 	h.endRun("a", h.starts["a"][0], work.Failed, time.Millisecond)
 	h.wantStarts("b", 1)
 	if r := h.starts["b"][0]; r.Number != 2 {
-		t.Errorf("run number %d", r.Number)
+		t.Errorf("run number %d, want 2", r.Number)
 	}
 	h.endRun("b", h.starts["b"][0], work.Failed, time.Millisecond)
 	h.wantOutcome("j", work.JobFailed)
@@ -57,15 +57,15 @@
 	h.c.Report(h.now, "a", &schedule.Report{Life: "1", Target: h.agents["a"], Ready: true, Settled: true, Idle: h.starts["a"]})
 	h.collect()
 	if len(h.stops["a"]) != 1 {
-		t.Fatalf("stops %v", h.stops)
+		t.Fatalf("stops %v, want one at a", h.stops)
 	}
 	h.wantStarts("b", 0)
 	h.endRun("a", h.starts["a"][0], work.Stopped, 400*time.Millisecond)
 	h.wantStarts("b", 1)
 }
 
-// TestRunFarBeyondItsEstimateIsAbandoned checks that a run is abandoned only when it takes far
-// longer than a wrong estimate explains.
+// TestRunFarBeyondItsEstimateIsAbandoned checks that a run is abandoned only when it
+// takes far longer than a wrong estimate explains.
 func TestRunFarBeyondItsEstimateIsAbandoned(t *testing.T) {
 	h := newHarness(t)
 	h.addAgent("a", 1)
@@ -76,7 +76,7 @@
 	}
 	h.advance(450 * time.Millisecond)
 	if len(h.stops["a"]) != 1 {
-		t.Errorf("stops %v", h.stops)
+		t.Errorf("stops %v, want one at a", h.stops)
 	}
 }
 
--- a/schedule/harness_test.go
+++ b/schedule/harness_test.go
@@ -14,7 +14,7 @@
 	Far: 3, Remember: 100, MaxQueued: 1000,
 }
 
-// harness plays the agents and the entries around a Core.
+// harness simulates the agents and the entries around a Core.
 type harness struct {
 	t        *testing.T
 	c        *schedule.Core
--- a/schedule/job.go
+++ b/schedule/job.go
@@ -11,8 +11,8 @@
 	work.Job
 	receivedAt     time.Time // when the system received it
 	objective      time.Time // soft deadline
-	cutoff         time.Time // hard deadline: a later end is of no use
-	tasks          [][]task  // by slot
+	cutoff         time.Time // hard deadline
+	tasks          [][]task  // by slot, which is a step of one occurrence
 	unfinished     []int     // by slot: tasks that are not done
 	pending        int       // tasks to place, of steps that are ready
 	running        int
--- a/schedule/job_test.go
+++ b/schedule/job_test.go
@@ -42,7 +42,7 @@
 	h.c.Withdraw(h.now, "j")
 	h.collect()
 	if len(h.stops["a"]) != 1 {
-		t.Fatalf("stops %v", h.stops)
+		t.Fatalf("stops %v, want one at a", h.stops)
 	}
 	h.wantStarts("a", 1)
 	h.endRun("a", h.starts["a"][0], work.Stopped, time.Millisecond)
--- a/schedule/place.go
+++ b/schedule/place.go
@@ -158,29 +158,29 @@
 // Otherwise it returns the fastest worker with free capacity.
 func (c *Core) chooseTarget(now time.Time, j *job, slot int, open []*target) *target {
 	step := j.Step(slot)
-	nominal := c.expectedTime(j, slot)
-	var meets, fastest *target
-	var meetsTime, fastestTime time.Duration
+	baseTime := c.expectedTime(j, slot)
+	var best, fastest *target
+	var bestTime, fastestTime time.Duration
 	worthWaiting := false
 	for _, t := range open {
 		if !c.isEligible(j, slot, t) {
 			continue
 		}
-		took := time.Duration(float64(nominal) * t.slowness() * c.distanceFactor(step, t))
-		inTime := c.meetsObjective(now, j, took)
+		expected := time.Duration(float64(baseTime) * t.slowness() * c.distanceFactor(step, t))
+		inTime := c.meetsObjective(now, j, expected)
 		if !t.free().Holds(step.Room) {
 			worthWaiting = worthWaiting || inTime
 			continue
 		}
-		if inTime && (meets == nil || isBetter(took, t, meetsTime, meets)) {
-			meets, meetsTime = t, took
+		if inTime && (best == nil || isBetter(expected, t, bestTime, best)) {
+			best, bestTime = t, expected
 		}
-		if fastest == nil || took < fastestTime {
-			fastest, fastestTime = t, took
+		if fastest == nil || expected < fastestTime {
+			fastest, fastestTime = t, expected
 		}
 	}
-	if meets != nil || worthWaiting {
-		return meets
+	if best != nil || worthWaiting {
+		return best
 	}
 	return fastest
 }
@@ -192,19 +192,19 @@
 	maxWorkFactor = 2.0
 )
 
-// meetsObjective reports whether a task that is placed now and takes the given time
+// meetsObjective reports whether a task that is placed now with an expected run time
 // would meet the job's objective at both limits of its real work.
-func (c *Core) meetsObjective(now time.Time, j *job, took time.Duration) bool {
+func (c *Core) meetsObjective(now time.Time, j *job, expected time.Duration) bool {
 	elapsed := now.Sub(j.receivedAt) + c.cfg.Margin
-	gain := float64(j.objective.Sub(j.receivedAt)-j.Queue.Target) - float64(took)
-	fixed := float64(j.Queue.Target - elapsed)
-	return fixed+minWorkFactor*gain >= 0 && fixed+maxWorkFactor*gain >= 0
+	workSlack := float64(j.objective.Sub(j.receivedAt)-j.Queue.Target) - float64(expected)
+	fixedSlack := float64(j.Queue.Target - elapsed)
+	return fixedSlack+minWorkFactor*workSlack >= 0 && fixedSlack+maxWorkFactor*workSlack >= 0
 }
 
 // isBetter prefers the clearly slower worker, then the one with more free CPU.
-func isBetter(took time.Duration, t *target, bestTook time.Duration, best *target) bool {
-	if diff := took - bestTook; diff > bestTook/similarSpeedDivisor || -diff > bestTook/similarSpeedDivisor {
-		return took > bestTook
+func isBetter(expected time.Duration, t *target, bestTime time.Duration, best *target) bool {
+	if diff := expected - bestTime; diff > bestTime/similarSpeedDivisor || -diff > bestTime/similarSpeedDivisor {
+		return expected > bestTime
 	}
 	return t.free().CPU > best.free().CPU
 }
--- a/schedule/report.go
+++ b/schedule/report.go
@@ -19,7 +19,7 @@
 	Events  []Event
 	Idle    []work.Run   // stalled runs: mature, and without progress
 	Slow    []Projection // runs that go far slower than expected
-	Epoch   uint64       // of the tenure from which the agent takes stored jobs
+	Epoch   uint64       // of the tenure that the agent obeys
 	Asked   bool         // Kept was requested and is complete
 	Kept    []Kept       // inherited runs: those of stored jobs that a previous holder placed
 }
@@ -27,7 +27,7 @@
 // Event reports how a run ended.
 type Event = worker.Event
 
-// Pace is how long the worker's runs take against their estimates.
+// Pace is how long the worker's runs take relative to their estimates.
 type Pace = worker.Pace
 
 // Projection is the least run time to expect of a slow run.
@@ -111,7 +111,7 @@
 }
 
 // expireAgents ends the runs of agents that have been out of contact for longer than
-// the leases of these runs, and deletes agents after agentRetention.
+// the leases of these runs, and deletes agents without runs after agentRetention.
 func (c *Core) expireAgents(now time.Time) {
 	for _, name := range c.agentNames {
 		t := c.targets[name]
--- a/schedule/stored_test.go
+++ b/schedule/stored_test.go
@@ -73,7 +73,7 @@
 	h.wantStarts("a", 0)
 	h.confirm("b", 2, nil)
 	if len(h.starts["a"])+len(h.starts["b"]) != 1 {
-		t.Errorf("starts %v", h.starts)
+		t.Errorf("starts %v, want one", h.starts)
 	}
 }
 
@@ -104,7 +104,7 @@
 	h := newInheritingHarness(t, "a")
 	h.confirm("a", 2, []schedule.Kept{{Run: run("cancelled", 0, 5)}})
 	if len(h.stops["a"]) != 1 {
-		t.Errorf("stops %v", h.stops)
+		t.Errorf("stops %v, want one at a", h.stops)
 	}
 }
 
@@ -130,7 +130,7 @@
 	h.setTenure(0)
 	h.confirm("a", 1, nil, schedule.Event{Run: h.starts["a"][1], End: work.Done})
 	if got := h.c.Acked("a"); got != 0 {
-		t.Fatalf("acknowledged %d", got)
+		t.Fatalf("acknowledged %d without a tenure", got)
 	}
 	h.confirm("a", 2, nil)
 	if got := h.c.Acked("a"); got != 2 {
@@ -160,12 +160,12 @@
 	h.c.Cancel(h.now, "j")
 	h.collect()
 	if len(h.stops["a"]) != 2 {
-		t.Errorf("stops %v", h.stops)
+		t.Errorf("stops %v, want two at a", h.stops)
 	}
 }
 
-// TestEndsOfLaterStepsMayArriveFirst checks that agents may report
-// in any order the ends that a previous home could not commit.
+// TestEndsOfLaterStepsMayArriveFirst checks that agents may report in any order the
+// ends that a previous home could not commit.
 func TestEndsOfLaterStepsMayArriveFirst(t *testing.T) {
 	h := newInheritingHarness(t, "a", "b")
 	j := job("j", 0, 1, 100*time.Millisecond)
@@ -177,7 +177,7 @@
 	h.confirm("b", 2, nil, schedule.Event{Run: run("j", 0, 5), End: work.Done})
 	h.wantOutcome("j", work.Completed)
 	if len(h.starts) != 0 {
-		t.Errorf("starts %v", h.starts)
+		t.Errorf("starts %v, want none", h.starts)
 	}
 }
 
--- a/schedule/straggler.go
+++ b/schedule/straggler.go
@@ -15,9 +15,9 @@
 // some tens of milliseconds.
 
 // A worker counts as slow when runs of minSlowJobs jobs are slow there, and these are
-// at least half of its mature runs and of those that ended normally in recentWindow.
-// Without the latter, the remaining runs would mostly be those with wrong estimates.
-// One job proves nothing: the estimates of its tasks are wrong together.
+// at least half of all its mature runs and the runs that ended normally in
+// recentWindow. Without the latter, the remaining runs would mostly be those with
+// wrong estimates. One job proves nothing: the estimates of its tasks are wrong together.
 const (
 	minSlowJobs  = 2
 	matureAge    = 60 * time.Millisecond  // a younger run may be slow without being detected
@@ -110,9 +110,9 @@
 	if step.Gang {
 		return // the other members of the gang would end, too
 	}
-	nominal := c.expectedTime(j, j.Slot(p.Run.Task))
+	baseTime := c.expectedTime(j, j.Slot(p.Run.Task))
 	for _, o := range c.openTargets(now) {
-		elsewhere := stopCost + time.Duration(float64(nominal)*o.slowness()*c.distanceFactor(step, o))
+		elsewhere := stopCost + time.Duration(float64(baseTime)*o.slowness()*c.distanceFactor(step, o))
 		if o == t || !c.isEligible(j, j.Slot(p.Run.Task), o) || !o.free().Holds(step.Room) || minMoveGain*elsewhere > remaining {
 			continue
 		}
--- a/schedule/straggler_test.go
+++ b/schedule/straggler_test.go
@@ -19,9 +19,9 @@
 	h.collect()
 }
 
-// TestRunsOfASlowWorkerAreMoved covers a worker where runs of several jobs are far slower
-// than expected: it gets no task that would be late there, and runs that can be in
-// time on another worker are moved.
+// TestRunsOfASlowWorkerAreMoved covers a worker where runs of several jobs are far
+// slower than expected: it gets no task that would be late there, and runs that can
+// be in time on another worker are moved.
 func TestRunsOfASlowWorkerAreMoved(t *testing.T) {
 	h := newHarness(t)
 	h.addAgent("a", 2)
--- a/schedule/timed_test.go
+++ b/schedule/timed_test.go
@@ -59,7 +59,7 @@
 	h.wantStarts("a", 2)
 	h.confirm("a", 1, nil, schedule.Event{Run: h.starts["a"][1], End: work.Done})
 	if got := h.starts["a"]; len(got) != 3 || got[2].Task.Occurrence != 1 || got[2].Task.Step != 1 {
-		t.Errorf("starts %v", got)
+		t.Errorf("starts %v, want three, the last of step 1 in occurrence 1", got)
 	}
 }
 
@@ -97,7 +97,7 @@
 	h.confirm("b", 1, nil)
 	h.confirm("a", 1, nil)
 	if len(h.stops["a"]) != 1 {
-		t.Fatalf("stops %v", h.stops)
+		t.Fatalf("stops %v, want one at a", h.stops)
 	}
 	h.confirm("a", 1, nil, schedule.Event{Run: h.starts["a"][0], End: work.Stopped})
 	h.wantStarts("b", 1)
