--- a/schedule/core.go
+++ b/schedule/core.go
@@ -189,7 +189,7 @@
 const withdrawnGrace = 60 * time.Millisecond
 
 // Tick runs the decisions that depend on time. It is called every few milliseconds
-// while jobs wait, and at least a few times per Config.Suspect.
+// while jobs wait, and at least a few times per Config.SuspectAfter.
 func (c *Core) Tick(now time.Time) {
 	if now.Sub(c.lastKindUpdate) > kindUpdateInterval {
 		c.lastKindUpdate = now
