--- a/queue/queue.go
+++ b/queue/queue.go
@@ -39,7 +39,7 @@
 	order       []*team // in the order of their first job
 	items       map[job.Key]*waitingJob
 	waiting     int
-	virtualTime float64 // service received, per unit of weight
+	virtualTime float64 // highest at which a team was served; in tasks per unit of weight
 	seq         uint64
 }
 
@@ -47,10 +47,11 @@
 	name            string
 	weight          float64
 	virtualTime     float64
-	busyPeriodTasks int // tasks taken since none waited
+	busyPeriodTasks int // tasks taken since the team last had none waiting
 	jobs            jobHeap
 }
 
+// waitingJob is an element of its team's jobHeap.
 type waitingJob struct {
 	Item
 	team  *team
@@ -76,7 +77,7 @@
 	return n
 }
 
-// Push adds it.Waiting tasks of a job for a team of the given weight.
+// Push adds it.Waiting tasks of a job whose team has the given weight.
 func (q *Queue) Push(it Item, weight float64) {
 	if it.Waiting <= 0 {
 		return
@@ -98,8 +99,8 @@
 	heap.Push(&t.jobs, n)
 }
 
-// LongestStreak reports whether a team has been served for longer than any other
-// without a moment in which none of its tasks waited.
+// LongestStreak reports whether a team is in the longest busy period: since it last
+// had no waiting task, more of its tasks have been taken than of any other team.
 func (q *Queue) LongestStreak(name string) bool {
 	t := q.teams[name]
 	if t == nil {
@@ -113,7 +114,7 @@
 	return true
 }
 
-// minWeight is the share of a team whose weight is zero or unset.
+// minWeight is the weight of a team whose weight is zero or unset.
 const minWeight = 0.001
 
 func (q *Queue) team(name string) *team {
@@ -131,7 +132,7 @@
 	return t
 }
 
-// Next returns the job whose task goes next among the teams that may run one.
+// Next returns the job whose task goes next among the teams that are allowed one.
 func (q *Queue) Next(allowed func(team string) bool) (Item, bool) {
 	var best *team
 	for _, t := range q.order {
@@ -185,7 +186,7 @@
 	delete(q.items, n.Key)
 }
 
-// jobHeap is a heap of jobs, the next one first.
+// jobHeap is a heap of a team's jobs, the next one first.
 type jobHeap []*waitingJob
 
 func (h jobHeap) Len() int { return len(h) }
