--- a/health/tracker.go
+++ b/health/tracker.go
@@ -1,25 +1,26 @@
-// Package health judges the targets behind agents by the outcomes of tasks.
+// Package health tracks the health of the targets behind agents by the outcomes of
+// their tasks.
 //
 // # Model
 //
 // A target whose last tasks all failed, while others of its service succeed,
-// is quarantined: it gets one probe at a time, with growing pauses, until a
-// probe succeeds. Otherwise a target that fails fast would draw all load. A
-// target's mean run time tells how slow it is, so that stragglers come last.
+// is quarantined: it gets one probe at a time, with exponential backoff, until a
+// probe succeeds. Otherwise a target that fails fast would attract all load. A
+// target's mean run time shows how slow it is, so that stragglers are used last.
 //
 // # Usage
 //
 //	if t.Allows(now) {
 //		t.Begin()
 //		// dispatch, and later
-//		t.End(now, failed, lonely, took)
+//		t.End(now, failed, noOtherSucceeds, took)
 //	}
 package health
 
 import "time"
 
 const (
-	quarantineFailures = 5 // failures in a row that start a quarantine
+	quarantineFailures = 5 // consecutive failures that start a quarantine
 	initialBackoff     = time.Second
 	maxBackoff         = 30 * time.Second
 	meanSmoothing      = 0.02
@@ -29,7 +30,7 @@
 type Tracker struct {
 	consecutiveFailures int
 	backoff             time.Duration
-	nextProbe           time.Time
+	probeAt             time.Time
 	probing             bool
 	mean                float64 // seconds
 	samples             int
@@ -42,11 +43,11 @@
 
 // Allows reports whether a task may be sent now.
 func (t *Tracker) Allows(now time.Time) bool {
-	return !t.Quarantined() || (!t.probing && !now.Before(t.nextProbe))
+	return !t.Quarantined() || (!t.probing && !now.Before(t.probeAt))
 }
 
-// Resume returns the time of the next probe of a quarantined target.
-func (t *Tracker) Resume() time.Time { return t.nextProbe }
+// NextProbe returns the time of the next probe of a quarantined target.
+func (t *Tracker) NextProbe() time.Time { return t.probeAt }
 
 // Begin records that a task was sent.
 func (t *Tracker) Begin() {
@@ -58,13 +59,13 @@
 // Abort records that a task was sent but did not run.
 func (t *Tracker) Abort() { t.probing = false }
 
-// End records the outcome of a task. The flag lonely tells that no other
-// target of the service has succeeded lately, so that the fault may lie in the
-// tasks and no quarantine begins.
-func (t *Tracker) End(now time.Time, failed, lonely bool, took time.Duration) {
+// End records the outcome of a task. If noOtherSucceeds, no other target of the
+// service has succeeded lately, so the fault may lie in the tasks, and no quarantine
+// begins.
+func (t *Tracker) End(now time.Time, failed, noOtherSucceeds bool, took time.Duration) {
 	t.probing = false
 	if failed {
-		t.recordFailure(now, lonely)
+		t.recordFailure(now, noOtherSucceeds)
 		return
 	}
 	t.consecutiveFailures = 0
@@ -72,17 +73,17 @@
 	t.recordRunTime(took.Seconds())
 }
 
-func (t *Tracker) recordFailure(now time.Time, lonely bool) {
+func (t *Tracker) recordFailure(now time.Time, noOtherSucceeds bool) {
 	t.consecutiveFailures++
 	switch {
 	case t.Quarantined():
 		t.backoff = min(2*t.backoff, maxBackoff)
-	case t.consecutiveFailures >= quarantineFailures && !lonely:
+	case t.consecutiveFailures >= quarantineFailures && !noOtherSucceeds:
 		t.backoff = initialBackoff
 	default:
 		return
 	}
-	t.nextProbe = now.Add(t.backoff)
+	t.probeAt = now.Add(t.backoff)
 }
 
 func (t *Tracker) recordRunTime(seconds float64) {
--- a/health/tracker_test.go
+++ b/health/tracker_test.go
@@ -17,7 +17,7 @@
 	if !tr.Quarantined() || tr.Allows(now) {
 		t.Fatal("five failures in a row do not quarantine")
 	}
-	now = tr.Resume()
+	now = tr.NextProbe()
 	if !tr.Allows(now) {
 		t.Fatal("no probe is allowed after the pause")
 	}
@@ -27,7 +27,7 @@
 	}
 	tr.End(now, false, false, time.Second)
 	if tr.Quarantined() {
-		t.Error("a good probe does not end the quarantine")
+		t.Error("a successful probe does not end the quarantine")
 	}
 }
 
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -3,14 +3,14 @@
 // # Model
 //
 // A limit of L concurrent tasks among E entries is split in two. Every entry
-// may always use a base of one task, if L allows one for each. The rest is
-// lent for short terms by one entry, the lender of the team, to those that
-// have tasks for it: evenly, but nobody gets more than it wants. What was lent
-// counts until its term has ended, also if less is lent then, so that the limit
-// is never exceeded; a holder that can not reach the lender falls back to the
-// base. A lowered limit takes effect as terms end, and interrupts nothing.
+// may always use a base of one task, if L allows one for each. One entry, the
+// lender of the team, grants the rest for short terms to entries that have tasks
+// for it: evenly, but no entry gets more than it wants. A grant counts until its
+// term has ended, even if a later grant is smaller, so that the limit is never
+// exceeded. A holder that can not reach the lender falls back to the base. A
+// lowered limit takes effect as terms end, and interrupts no task.
 //
-// Wants and grants travel in the messages that entries exchange anyway.
+// Wants and grants are carried by the heartbeats between entries.
 //
 // Lender and Holder do no I/O and are not safe for concurrent use.
 //
@@ -32,11 +32,11 @@
 	"time"
 )
 
-// Term is how long a grant may be used after it arrived; the lender counts on
-// it for Hold after it was sent, which covers the longest way of a message.
+// GrantTerm is how long a grant may be used after it arrived. The lender reserves it
+// for ReservationTerm after sending it, which covers the longest delay of a message.
 const (
-	Term = 4 * time.Second
-	Hold = Term + 3*time.Second
+	GrantTerm = 4 * time.Second
+	Hold      = GrantTerm + 3*time.Second
 )
 
 // Base returns the number of tasks that each entry may always use.
@@ -47,19 +47,19 @@
 	return 0
 }
 
-// Need is what an entry reports about a team, and the limit that is in force.
+// Need is what an entry reports about a team, with the limit that is in force.
 type Need struct {
 	Want    int // tasks that run or wait
 	Limit   int
 	Entries int
 }
 
-// Lender lends what teams may use beyond the bases. The zero Lender is ready.
+// Lender grants what entries may use beyond their bases. The zero Lender is ready.
 type Lender struct {
 	teams map[string]map[string]*loan // by team and entry
 }
 
-// loan is what an entry holds of a team's limit.
+// loan is what the lender has granted to an entry of a team's limit.
 type loan struct {
 	wanted     int
 	lastReport time.Time
@@ -76,7 +76,7 @@
 	return l.grants[0].amount
 }
 
-// Lend returns how many tasks beyond its base an entry may run for the term.
+// Lend returns how many tasks beyond its base an entry may run for GrantTerm.
 func (l *Lender) Lend(now time.Time, team, entry string, n Need) int {
 	if l.teams == nil {
 		l.teams = make(map[string]map[string]*loan)
@@ -94,18 +94,18 @@
 	base := Base(n.Limit, n.Entries)
 	mine.wanted, mine.lastReport = max(0, n.Want-base), now
 	pool := max(0, n.Limit-base*n.Entries)
-	room := pool
+	available := pool
 	for id, ln := range loans {
 		if id != entry {
-			room -= ln.reserved(now)
+			available -= ln.reserved(now)
 		}
 	}
-	amount := max(0, min(mine.wanted, fairShare(now, loans, entry, pool), room))
+	amount := max(0, min(mine.wanted, fairShare(now, loans, entry, pool), available))
 	mine.addGrant(now, amount)
 	return amount
 }
 
-// addGrant adds a grant, which takes the place of those that are not larger.
+// addGrant adds a grant and removes earlier ones that are not larger.
 func (l *loan) addGrant(now time.Time, amount int) {
 	for n := len(l.grants); n > 0 && l.grants[n-1].amount <= amount; n-- {
 		l.grants = l.grants[:n-1]
@@ -113,8 +113,8 @@
 	l.grants = append(l.grants, grant{amount: amount, until: now.Add(Hold)})
 }
 
-// fairShare returns the share of an entry when the pool is dealt out evenly to those
-// that want some, and what one does not want goes to the others.
+// fairShare returns the max-min fair share of an entry: the pool is divided evenly
+// among the entries that want some, and what one does not want goes to the others.
 func fairShare(now time.Time, loans map[string]*loan, entry string, pool int) int {
 	var wants []int
 	for id, ln := range loans {
@@ -134,7 +134,7 @@
 	return pool / left
 }
 
-// Holder is what one entry holds of teams' limits. The zero Holder is ready.
+// Holder keeps the grants that one entry has received. The zero Holder is ready.
 type Holder struct {
 	grants map[string]grant
 }
@@ -144,12 +144,12 @@
 	until  time.Time
 }
 
-// Apply takes a grant over.
+// Apply replaces the grant of a team.
 func (h *Holder) Apply(now time.Time, team string, amount int) {
 	if h.grants == nil {
 		h.grants = make(map[string]grant)
 	}
-	h.grants[team] = grant{amount: amount, until: now.Add(Term)}
+	h.grants[team] = grant{amount: amount, until: now.Add(GrantTerm)}
 }
 
 // Limit returns how many tasks of a team the entry may run now.
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -9,8 +9,8 @@
 	"masticbay/quota"
 )
 
-// TestUseNeverExceedsTheLimit lets entries want, get and lose grants at random
-// and checks that what all of them may use stays within the limit.
+// TestUseNeverExceedsTheLimit lets entries request, receive and miss grants at
+// random and checks that the sum of what they may use stays within the limit.
 func TestUseNeverExceedsTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(1, 40).Draw(t, "limit")
@@ -71,14 +71,14 @@
 	var h quota.Holder
 	now := time.Unix(1_000_000, 0)
 	h.Apply(now, "laval", l.Lend(now, "laval", "e1", quota.Need{Want: 50, Limit: 40, Entries: 1}))
-	now = now.Add(quota.Term)
+	now = now.Add(quota.GrantTerm)
 	if got := h.Limit(now, "laval", 10, 1); got > 10 {
 		t.Errorf("the entry may run %d tasks after the limit was lowered to 10", got)
 	}
 }
 
-// TestShareOfAnIdleEntryIsFreed: an entry that goes on reporting, but wants
-// nothing any more, keeps its share for one term only.
+// TestShareOfAnIdleEntryIsFreed checks that an entry that still reports but wants
+// nothing keeps its share for one term only.
 func TestShareOfAnIdleEntryIsFreed(t *testing.T) {
 	var l quota.Lender
 	now := time.Unix(1_000_000, 0)
