--- a/work/work.go
+++ b/work/work.go
@@ -1,14 +1,17 @@
-// Package work holds the vocabulary of jobs that run on workers under leases.
+// Package work defines the types of jobs that run on workers under leases.
 //
 // # Model
 //
 // A queue of the operator's configuration names the service whose workers run
-// its jobs. A job consists of steps, a step of equal tasks. A task asks for
-// room on a worker and runs there under a run number that rises with each
-// start of the task. A run ends as done, or in one of the other ways of End.
+// its jobs. A job consists of steps, a step of equal tasks. A task needs room,
+// which are resources on a worker, and runs there under a run number that rises
+// with each start of the task. A run ends as one of the values of End.
+//
+// The steps of a timed job run several times; each time is an occurrence. A slot
+// is a step of one occurrence.
 //
 // The types here are plain data: package platform decodes requests into them,
-// package schedule decides about them, and package site carries them between
+// package schedule places their tasks, and package site sends them between
 // processes.
 //
 // # Usage
@@ -27,7 +30,7 @@
 	"github.com/juju/errors"
 )
 
-// Room is what a task needs of a worker, or what a worker offers.
+// Room is the resources that a task needs, or the capacity of a worker.
 type Room struct {
 	CPU    int `json:"cpu"`              // thousandths of a core
 	Memory int `json:"memory,omitempty"` // MB
@@ -39,7 +42,7 @@
 	return Room{r.CPU + o.CPU, r.Memory + o.Memory, r.GPUs + o.GPUs}
 }
 
-// Sub returns what is left of r without o.
+// Sub returns what is left of r after o is taken from it.
 func (r Room) Sub(o Room) Room {
 	return Room{r.CPU - o.CPU, r.Memory - o.Memory, r.GPUs - o.GPUs}
 }
@@ -54,64 +57,64 @@
 	Count       int           `json:"count"`
 	Room        Room          `json:"room"`
 	Estimate    time.Duration `json:"estimate,omitempty"`   // rough run time of a task; 0 if unknown
-	After       []int         `json:"after,omitempty"`      // earlier steps that must be done first
+	After       []int         `json:"after,omitempty"`      // indices of steps that must be done first
 	Label       string        `json:"label,omitempty"`      // label that a worker must have; empty for any
-	Affinity    string        `json:"affinity,omitempty"`   // rack that is near the data; empty for any
+	Affinity    string        `json:"affinity,omitempty"`   // label of the rack near the data; empty for any
 	MaxPerOne   int           `json:"maxPerOne,omitempty"`  // most tasks of the step on one worker; 0 for any number
 	Gang        bool          `json:"gang,omitempty"`       // all tasks start together or none
-	SameRack    bool          `json:"oneRack,omitempty"`    // slower if the tasks run on more than one rack
-	Checkpoint  bool          `json:"checkpoint,omitempty"` // the tasks save their progress
-	Speculative bool          `json:"copies,omitempty"`     // copies may run side by side
+	SameRack    bool          `json:"oneRack,omitempty"`    // the tasks run slower on more than one rack
+	Checkpoint  bool          `json:"checkpoint,omitempty"` // the tasks write checkpoints
+	Speculative bool          `json:"copies,omitempty"`     // copies of a task may run at the same time
 }
 
-// Queue is what the operator configured for the jobs of one kind.
+// Queue is the operator's configuration for jobs of one kind.
 type Queue struct {
 	Name        string        `json:"name"`
 	Service     string        `json:"service"`
 	Priority    int           `json:"priority,omitempty"` // 0 goes first
-	MaxAttempts int           `json:"maxAttempts"`        // failed runs of a task after which its job has failed
-	Stretch     float64       `json:"stretch,omitempty"`
-	Target      time.Duration `json:"target,omitempty"`
+	MaxAttempts int           `json:"maxAttempts"`        // failed runs of a task after which its job fails
+	Stretch     float64       `json:"stretch,omitempty"`  // factor of the chain in Objective; 1 if less
+	Target      time.Duration `json:"target,omitempty"`   // constant part of Objective
 }
 
-// Objective returns how long after its submission a job should have ended when
-// its longest chain of tasks takes chain on a sound worker.
+// Objective returns the soft deadline of a job, counted from its submission, when its
+// longest chain of tasks takes chain on a worker that is not slow.
 func (q *Queue) Objective(chain time.Duration) time.Duration {
 	return time.Duration(float64(chain)*max(q.Stretch, 1)) + q.Target
 }
 
-// Job is what a caller submitted.
+// Job is a job as its caller submitted it.
 type Job struct {
 	ID     string        `json:"id"`
 	Queue  Queue         `json:"queue"`
 	Spec   string        `json:"spec,omitempty"`
 	Steps  []Step        `json:"steps"`
-	Stored bool          `json:"stored,omitempty"` // it outlives processes; its caller does not wait for its end
-	Lasts  bool          `json:"lasts,omitempty"`  // its tasks run until it is cancelled, however often they end
-	Times  int           `json:"times,omitempty"`  // how often its steps run; 0 for once, at once
-	First  time.Time     `json:"first,omitzero"`   // when they run first, by the time of day
-	Every  time.Duration `json:"every,omitempty"`  // between these times
-	Left   time.Duration `json:"left,omitempty"`   // how long the caller waits, from when the job was handed over
-	Trace  string        `json:"trace,omitempty"`  // W3C traceparent of the hop before; empty if it is not traced
-	Age    time.Duration `json:"age,omitempty"`    // how long the system has had the job when it was handed over
+	Stored bool          `json:"stored,omitempty"` // it survives restarts; its caller does not wait for its end
+	Lasts  bool          `json:"lasts,omitempty"`  // its tasks run until it is cancelled, and restart when they end
+	Times  int           `json:"times,omitempty"`  // number of occurrences; 0 for one, which starts at once
+	First  time.Time     `json:"first,omitzero"`   // wall-clock time of the first occurrence
+	Every  time.Duration `json:"every,omitempty"`  // interval between occurrences
+	Left   time.Duration `json:"left,omitempty"`   // how long the caller still waits, counted from the handover of the job
+	Trace  string        `json:"trace,omitempty"`  // W3C traceparent of the previous hop; empty if it is not traced
+	Age    time.Duration `json:"age,omitempty"`    // time between the receipt of the job by the system and its handover
 }
 
-// Slots returns the number of steps of all occurrences.
+// Slots returns the number of slots: the steps of all occurrences.
 func (j *Job) Slots() int { return max(j.Times, 1) * len(j.Steps) }
 
-// Slot returns the number of a task's step, counted over all occurrences.
+// Slot returns the slot of a task: the index of its step over all occurrences.
 func (j *Job) Slot(t TaskRef) int { return t.Occurrence*len(j.Steps) + t.Step }
 
 // Step returns the step of a slot.
 func (j *Job) Step(slot int) *Step { return &j.Steps[slot%len(j.Steps)] }
 
-// Ref returns the name of a task.
+// Ref returns the reference to a task of a slot.
 func (j *Job) Ref(slot, index int) TaskRef {
 	return TaskRef{Job: j.ID, Occurrence: slot / len(j.Steps), Step: slot % len(j.Steps), Index: index}
 }
 
-// Due returns when the occurrence of a slot may begin, by the time of day; zero for
-// at once.
+// Due returns the wall-clock time at which the occurrence of a slot may start; zero
+// for at once.
 func (j *Job) Due(slot int) time.Time {
 	if j.Times == 0 {
 		return time.Time{}
@@ -119,7 +122,7 @@
 	return j.First.Add(time.Duration(slot/len(j.Steps)) * j.Every)
 }
 
-// Tasks returns the number of tasks of all steps of one occurrence.
+// Tasks returns the number of tasks in one occurrence.
 func (j *Job) Tasks() int {
 	n := 0
 	for i := range j.Steps {
@@ -133,17 +136,17 @@
 	ends := make([]time.Duration, len(j.Steps))
 	var longest time.Duration
 	for i := range j.Steps {
-		var begin time.Duration
+		var start time.Duration
 		for _, k := range j.Steps[i].After {
-			begin = max(begin, ends[k])
+			start = max(start, ends[k])
 		}
-		ends[i] = begin + j.Steps[i].Estimate
+		ends[i] = start + j.Steps[i].Estimate
 		longest = max(longest, ends[i])
 	}
 	return longest
 }
 
-// TaskRef names one task of a job.
+// TaskRef identifies one task of a job.
 type TaskRef struct {
 	Job        string
 	Occurrence int // 0 for a job that runs once
@@ -156,20 +159,20 @@
 	return t.Job + "." + strconv.Itoa(t.Occurrence) + "." + strconv.Itoa(t.Step) + "." + strconv.Itoa(t.Index)
 }
 
-// Compare orders tasks by job, step and index.
+// Compare orders tasks by job, occurrence, step and index.
 func (t TaskRef) Compare(o TaskRef) int {
 	return cmp.Or(cmp.Compare(t.Job, o.Job), t.Occurrence-o.Occurrence, t.Step-o.Step, t.Index-o.Index)
 }
 
-// ParseTaskRef reads what String wrote.
+// ParseTaskRef parses the form that String returns.
 func ParseTaskRef(s string) (t TaskRef, err error) {
 	parts := strings.Split(s, ".")
 	if len(parts) != 4 {
 		return t, errors.NotValidf("name of a task %q", s)
 	}
 	t.Job = parts[0]
-	for i, to := range []*int{&t.Occurrence, &t.Step, &t.Index} {
-		if *to, err = strconv.Atoi(parts[i+1]); err != nil {
+	for i, field := range []*int{&t.Occurrence, &t.Step, &t.Index} {
+		if *field, err = strconv.Atoi(parts[i+1]); err != nil {
 			return t, errors.NotValidf("name of a task %q", s)
 		}
 	}
@@ -182,24 +185,24 @@
 	Number int // from 1, rises with each start of the task
 }
 
-// String returns the task and the number.
+// String returns the form TASK#NUMBER.
 func (r Run) String() string { return fmt.Sprintf("%s#%d", r.Task, r.Number) }
 
-// End tells how a run ended.
+// End is how a run ended.
 type End string
 
 // The ends of a run.
 const (
 	Done    End = "done"
 	Failed  End = "failed"  // by its own fault or the worker's
-	Stopped End = "stopped" // on an order
-	Lapsed  End = "lapsed"  // its lease ran out, or the worker ended
+	Stopped End = "stopped" // by an order
+	Lapsed  End = "lapsed"  // its lease expired, or the worker ended
 	Broken  End = "broken"  // another member of its gang ended
 	Alone   End = "alone"   // the other members of its gang did not start
 	Refused End = "refused" // proven not to have started
 )
 
-// State is how a job ended, or that it has not.
+// State is the state of a job.
 type State string
 
 // The states of a job.
@@ -209,15 +212,15 @@
 	Completed State = "completed"
 	JobFailed State = "failed"
 	Cancelled State = "cancelled"
-	Rejected  State = "rejected" // nothing of it was ever sent to a worker
-	Unknown   State = "unknown"  // given up; some of it may have run
+	Rejected  State = "rejected" // none of its tasks was ever sent to a worker
+	Unknown   State = "unknown"  // abandoned; some of its tasks may have run
 )
 
 // Outcome is the answer to a job.
 type Outcome struct {
 	State      State
 	Reason     string
-	RetryAfter time.Duration // for a rejected job: when it is likely to be served
+	RetryAfter time.Duration // for a rejected job: time after which a retry is likely to succeed
 }
 
 // Start is an order to run a task.
@@ -225,9 +228,9 @@
 	Run        Run
 	Spec       string
 	Room       Room
-	Estimate   time.Duration // on a worker of slowness 1 at this distance from the data
-	Expected   time.Duration // on the worker that it goes to; 0 if unknown
-	Trace      string        // of the job's hop to its home
+	Estimate   time.Duration // on a worker of slowness 1 at the same distance from the data
+	Expected   time.Duration // on the worker that gets the task; 0 if unknown
+	Trace      string        // W3C traceparent of the job's hop to its home, the coordinator that places it
 	Checkpoint string        // where to resume; empty for the beginning
 	Stored     bool          // its job is stored
 }
@@ -235,7 +238,7 @@
 // Target describes a worker as it reports itself.
 type Target struct {
 	ID       string
-	Born     int64 // tells the lives of a worker apart
+	Born     int64 // identifies the incarnation of the worker
 	Service  string
 	Zone     string
 	Labels   []string
