--- a/health/tracker.go
+++ b/health/tracker.go
@@ -1,52 +1,53 @@
-// Package health judges the targets behind agents by the outcomes of tasks.
+// Package health tracks the health of the targets behind agents by the outcomes of
+// their tasks.
 //
 // # Model
 //
 // A target whose last tasks all failed, while others of its service succeed,
-// is quarantined: it gets one probe at a time, with growing pauses, until a
-// probe succeeds. Otherwise a target that fails fast would draw all load. A
-// target's mean run time tells how slow it is, so that stragglers come last.
+// is quarantined: it gets one probe at a time, with exponential backoff, until a
+// probe succeeds. Otherwise a target that fails fast would attract all load. A
+// target's mean run time shows how slow it is, so that stragglers are used last.
 //
 // # Usage
 //
 //	if t.Allows(now) {
 //		t.Begin()
 //		// dispatch, and later
-//		t.End(now, failed, lonely, took)
+//		t.End(now, failed, noOtherSucceeds, took)
 //	}
 package health
 
 import "time"
 
 const (
-	failStreak    = 5 // failures in a row that start a quarantine
-	firstPause    = time.Second
-	longestPause  = 30 * time.Second
-	meanSmoothing = 0.02
+	quarantineFailures = 5 // consecutive failures that start a quarantine
+	initialBackoff     = time.Second
+	maxBackoff         = 30 * time.Second
+	meanSmoothing      = 0.02
 )
 
 // Tracker follows one target. The zero Tracker is healthy.
 type Tracker struct {
-	streak  int
-	pause   time.Duration
-	resume  time.Time
-	probing bool
-	mean    float64 // seconds
-	samples int
+	consecutiveFailures int
+	backoff             time.Duration
+	probeAt             time.Time
+	probing             bool
+	mean                float64 // seconds
+	samples             int
 }
 
 // Quarantined reports whether the target gets probes only.
 func (t *Tracker) Quarantined() bool {
-	return t.pause > 0
+	return t.backoff > 0
 }
 
 // Allows reports whether a task may be sent now.
 func (t *Tracker) Allows(now time.Time) bool {
-	return !t.Quarantined() || (!t.probing && !now.Before(t.resume))
+	return !t.Quarantined() || (!t.probing && !now.Before(t.probeAt))
 }
 
-// Resume returns the time of the next probe of a quarantined target.
-func (t *Tracker) Resume() time.Time { return t.resume }
+// NextProbe returns the time of the next probe of a quarantined target.
+func (t *Tracker) NextProbe() time.Time { return t.probeAt }
 
 // Begin records that a task was sent.
 func (t *Tracker) Begin() {
@@ -58,34 +59,34 @@
 // Abort records that a task was sent but did not run.
 func (t *Tracker) Abort() { t.probing = false }
 
-// End records the outcome of a task. The flag lonely tells that no other
-// target of the service has succeeded lately, so that the fault may lie in the
-// tasks and no quarantine begins.
-func (t *Tracker) End(now time.Time, failed, lonely bool, took time.Duration) {
+// End records the outcome of a task. If noOtherSucceeds, no other target of the
+// service has succeeded lately, so the fault may lie in the tasks, and no quarantine
+// begins.
+func (t *Tracker) End(now time.Time, failed, noOtherSucceeds bool, took time.Duration) {
 	t.probing = false
 	if failed {
-		t.fail(now, lonely)
+		t.recordFailure(now, noOtherSucceeds)
 		return
 	}
-	t.streak = 0
-	t.pause = 0
-	t.observe(took.Seconds())
+	t.consecutiveFailures = 0
+	t.backoff = 0
+	t.recordRunTime(took.Seconds())
 }
 
-func (t *Tracker) fail(now time.Time, lonely bool) {
-	t.streak++
+func (t *Tracker) recordFailure(now time.Time, noOtherSucceeds bool) {
+	t.consecutiveFailures++
 	switch {
 	case t.Quarantined():
-		t.pause = min(2*t.pause, longestPause)
-	case t.streak >= failStreak && !lonely:
-		t.pause = firstPause
+		t.backoff = min(2*t.backoff, maxBackoff)
+	case t.consecutiveFailures >= quarantineFailures && !noOtherSucceeds:
+		t.backoff = initialBackoff
 	default:
 		return
 	}
-	t.resume = now.Add(t.pause)
+	t.probeAt = now.Add(t.backoff)
 }
 
-func (t *Tracker) observe(seconds float64) {
+func (t *Tracker) recordRunTime(seconds float64) {
 	t.samples++
 	weight := max(meanSmoothing, 1/float64(t.samples))
 	t.mean += weight * (seconds - t.mean)
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -35,23 +35,24 @@
 
 // Queue holds the waiting jobs of one service. The zero Queue is empty.
 type Queue struct {
-	teams   map[string]*team
-	order   []*team // in the order of their first job
-	items   map[job.Key]*node
-	waiting int
-	virtual float64 // service received, per unit of weight
-	seq     uint64
+	teams       map[string]*team
+	order       []*team // in the order of their first job
+	items       map[job.Key]*waitingJob
+	waiting     int
+	virtualTime float64 // highest at which a team was served; in tasks per unit of weight
+	seq         uint64
 }
 
 type team struct {
-	name    string
-	weight  float64
-	virtual float64
-	streak  int // tasks taken since none waited
-	jobs    nodes
+	name            string
+	weight          float64
+	virtualTime     float64
+	busyPeriodTasks int // tasks taken since the team last had none waiting
+	jobs            jobHeap
 }
 
-type node struct {
+// waitingJob is an element of its team's jobHeap.
+type waitingJob struct {
 	Item
 	team  *team
 	seq   uint64
@@ -76,7 +77,7 @@
 	return n
 }
 
-// Push adds it.Waiting tasks of a job for a team of the given weight.
+// Push adds it.Waiting tasks of a job whose team has the given weight.
 func (q *Queue) Push(it Item, weight float64) {
 	if it.Waiting <= 0 {
 		return
@@ -90,30 +91,30 @@
 	t := q.team(it.Team)
 	t.weight = max(weight, minWeight)
 	if len(t.jobs) == 0 {
-		t.virtual = max(t.virtual, q.virtual)
+		t.virtualTime = max(t.virtualTime, q.virtualTime)
 	}
 	q.seq++
-	n := &node{Item: it, team: t, seq: q.seq}
+	n := &waitingJob{Item: it, team: t, seq: q.seq}
 	q.items[it.Key] = n
 	heap.Push(&t.jobs, n)
 }
 
-// LongestStreak reports whether a team has been served for longer than any other
-// without a moment in which none of its tasks waited.
+// LongestStreak reports whether a team is in the longest busy period: since it last
+// had no waiting task, more of its tasks have been taken than of any other team.
 func (q *Queue) LongestStreak(name string) bool {
 	t := q.teams[name]
 	if t == nil {
 		return false
 	}
 	for _, other := range q.order {
-		if other != t && other.streak >= t.streak {
+		if other != t && other.busyPeriodTasks >= t.busyPeriodTasks {
 			return false
 		}
 	}
 	return true
 }
 
-// minWeight is the share of a team whose weight is zero or unset.
+// minWeight is the weight of a team whose weight is zero or unset.
 const minWeight = 0.001
 
 func (q *Queue) team(name string) *team {
@@ -123,7 +124,7 @@
 	}
 	if q.teams == nil {
 		q.teams = make(map[string]*team)
-		q.items = make(map[job.Key]*node)
+		q.items = make(map[job.Key]*waitingJob)
 	}
 	t = &team{name: name}
 	q.teams[name] = t
@@ -131,11 +132,11 @@
 	return t
 }
 
-// Next returns the job whose task goes next among the teams that may run one.
+// Next returns the job whose task goes next among the teams that are allowed one.
 func (q *Queue) Next(allowed func(team string) bool) (Item, bool) {
 	var best *team
 	for _, t := range q.order {
-		if len(t.jobs) == 0 || (best != nil && t.virtual >= best.virtual) {
+		if len(t.jobs) == 0 || (best != nil && t.virtualTime >= best.virtualTime) {
 			continue
 		}
 		if allowed(t.name) {
@@ -154,10 +155,10 @@
 	if n == nil {
 		return
 	}
-	q.virtual = max(q.virtual, n.team.virtual)
-	n.team.virtual += 1 / n.team.weight
-	n.team.streak++
-	q.drop(n, 1)
+	q.virtualTime = max(q.virtualTime, n.team.virtualTime)
+	n.team.virtualTime += 1 / n.team.weight
+	n.team.busyPeriodTasks++
+	q.removeTasks(n, 1)
 }
 
 // Remove removes all waiting tasks of a job and returns their number.
@@ -167,11 +168,11 @@
 		return 0
 	}
 	waiting := n.Waiting
-	q.drop(n, waiting)
+	q.removeTasks(n, waiting)
 	return waiting
 }
 
-func (q *Queue) drop(n *node, count int) {
+func (q *Queue) removeTasks(n *waitingJob, count int) {
 	n.Waiting -= count
 	q.waiting -= count
 	if n.Waiting > 0 {
@@ -180,17 +181,17 @@
 	}
 	heap.Remove(&n.team.jobs, n.index)
 	if len(n.team.jobs) == 0 {
-		n.team.streak = 0
+		n.team.busyPeriodTasks = 0
 	}
 	delete(q.items, n.Key)
 }
 
-// nodes is a heap of jobs, the next one first.
-type nodes []*node
+// jobHeap is a heap of a team's jobs, the next one first.
+type jobHeap []*waitingJob
 
-func (h nodes) Len() int { return len(h) }
+func (h jobHeap) Len() int { return len(h) }
 
-func (h nodes) Less(i, j int) bool {
+func (h jobHeap) Less(i, j int) bool {
 	a, b := h[i], h[j]
 	if a.Waiting != b.Waiting {
 		return a.Waiting < b.Waiting
@@ -201,18 +202,18 @@
 	return a.seq < b.seq
 }
 
-func (h nodes) Swap(i, j int) {
+func (h jobHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].index, h[j].index = i, j
 }
 
-func (h *nodes) Push(x any) {
-	n := x.(*node)
+func (h *jobHeap) Push(x any) {
+	n := x.(*waitingJob)
 	n.index = len(*h)
 	*h = append(*h, n)
 }
 
-func (h *nodes) Pop() any {
+func (h *jobHeap) Pop() any {
 	old := *h
 	n := old[len(old)-1]
 	old[len(old)-1] = nil
--- a/schedule/place.go
+++ b/schedule/place.go
@@ -7,21 +7,22 @@
 	"masticbay/work"
 )
 
-// enqueue puts a job with tasks to place among those that wait.
+// enqueue inserts a job that has tasks to place into the waiting jobs.
 func (c *Core) enqueue(j *job) {
-	if j.waits || j.over || j.pending == 0 {
+	if j.isWaiting || j.answered || j.pending == 0 {
 		return
 	}
-	j.waits = true
-	i, _ := slices.BinarySearchFunc(c.waiting, j, before)
+	j.isWaiting = true
+	i, _ := slices.BinarySearchFunc(c.waiting, j, compareJobs)
 	c.waiting = slices.Insert(c.waiting, i, j)
 }
 
-// before orders jobs: those that can be in time first, by priority, then by the objective, then by name.
-func before(a, b *job) int {
+// compareJobs orders jobs: those that can still meet their deadline first, then by
+// priority, by objective and by ID.
+func compareJobs(a, b *job) int {
 	switch {
-	case a.late != b.late:
-		if a.late {
+	case a.missesDeadline != b.missesDeadline:
+		if a.missesDeadline {
 			return 1
 		}
 		return -1
@@ -36,72 +37,73 @@
 	}
 }
 
+// dequeue removes a job from the waiting jobs.
 func (c *Core) dequeue(j *job) {
-	if !j.waits {
+	if !j.isWaiting {
 		return
 	}
-	j.waits = false
+	j.isWaiting = false
 	c.waiting = slices.DeleteFunc(c.waiting, func(o *job) bool { return o == j })
 }
 
-// place gives waiting tasks to workers with room.
-func (c *Core) place(now time.Time) {
-	open := c.open(now)
+// placeWaiting places waiting tasks on workers that have free capacity.
+func (c *Core) placeWaiting(now time.Time) {
+	open := c.openTargets(now)
 	if len(open) == 0 {
 		return
 	}
-	most := mostFree(open)
-	tenured := c.tenured(now)
+	maxFree := maxFreeCPU(open)
+	storedAllowed := c.mayPlaceStored(now)
 	for i := 0; i < len(c.waiting); i++ {
 		j := c.waiting[i]
-		if j.leastCPU > most || j.Stored && !tenured {
+		if j.minCPU > maxFree || j.Stored && !storedAllowed {
 			continue
 		}
 		if c.placeJob(now, j, open) {
-			most = mostFree(open)
+			maxFree = maxFreeCPU(open)
 		}
 		if j.pending == 0 {
-			j.waits = false
+			j.isWaiting = false
 			c.waiting = slices.Delete(c.waiting, i, i+1)
 			i--
 		}
 	}
 }
 
-// open returns the workers that take starts.
-func (c *Core) open(now time.Time) []*target {
+// openTargets returns the workers on which tasks may be placed now.
+func (c *Core) openTargets(now time.Time) []*target {
 	var open []*target
-	for _, name := range c.names {
+	for _, name := range c.agentNames {
 		t := c.targets[name]
-		if c.usable(now, t) && now.After(t.resume) {
+		if c.isUsable(now, t) && now.After(t.backoffUntil) {
 			open = append(open, t)
 		}
 	}
 	return open
 }
 
-// usable reports whether a worker is in contact and serves.
-func (c *Core) usable(now time.Time, t *target) bool {
-	silence := max(c.cfg.Suspect, c.cfg.SuspectIdle)
+// isUsable reports whether a worker is in contact, takes starts and is not draining.
+func (c *Core) isUsable(now time.Time, t *target) bool {
+	contactTimeout := max(c.cfg.Suspect, c.cfg.SuspectIdle)
 	if len(t.runs) > 0 {
-		silence = c.cfg.Suspect
+		contactTimeout = c.cfg.Suspect
 	}
-	return t.ready && !t.Draining && now.Sub(t.heard) <= silence
+	return t.ready && !t.Draining && now.Sub(t.lastContact) <= contactTimeout
 }
 
-// mostFree returns the largest free processor room of any worker, so that jobs
-// that can not fit anywhere are passed over quickly under load.
-func mostFree(open []*target) int {
-	most := 0
+// maxFreeCPU returns the largest free CPU capacity of any worker. Under load it
+// lets placeWaiting skip jobs that fit nowhere.
+func maxFreeCPU(open []*target) int {
+	maxFree := 0
 	for _, t := range open {
-		most = max(most, t.free().CPU)
+		maxFree = max(maxFree, t.free().CPU)
 	}
-	return most
+	return maxFree
 }
 
-// placeJob places what it can of a job and reports whether that was anything.
+// placeJob places as many tasks of a job as it can and reports whether it placed any.
 func (c *Core) placeJob(now time.Time, j *job, open []*target) bool {
-	before := j.pending
+	previous := j.pending
 	for i := range j.tasks {
 		if j.Step(i).Gang {
 			c.placeGang(now, j, i, open)
@@ -111,182 +113,181 @@
 			if j.tasks[i][k].state != pending {
 				continue
 			}
-			t := c.choose(now, j, i, open)
+			t := c.chooseTarget(now, j, i, open)
 			if t == nil {
 				break
 			}
-			c.assign(now, t, j, i, k, j.tasks[i][k].run+1)
+			c.startRun(now, t, j, i, k, j.tasks[i][k].runNumber+1)
 		}
 	}
-	return j.pending < before
+	return j.pending < previous
 }
 
-// placeGang places all tasks of a step under one run number, or none.
-func (c *Core) placeGang(now time.Time, j *job, step int, open []*target) {
+// placeGang places either all tasks of a step, under one run number, or none.
+func (c *Core) placeGang(now time.Time, j *job, slot int, open []*target) {
 	number := 0
-	for k := range j.tasks[step] {
-		if j.tasks[step][k].state != pending {
+	for k := range j.tasks[slot] {
+		if j.tasks[slot][k].state != pending {
 			return
 		}
-		number = max(number, j.tasks[step][k].run+1)
+		number = max(number, j.tasks[slot][k].runNumber+1)
 	}
-	chosen := make([]*target, 0, len(j.tasks[step]))
-	for range j.tasks[step] {
-		t := c.choose(now, j, step, open)
+	chosen := make([]*target, 0, len(j.tasks[slot]))
+	for range j.tasks[slot] {
+		t := c.chooseTarget(now, j, slot, open)
 		if t == nil {
 			break
 		}
-		t.used = t.used.Add(j.Step(step).Room)
+		t.used = t.used.Add(j.Step(slot).Room)
 		chosen = append(chosen, t)
 	}
 	for _, t := range chosen {
-		t.used = t.used.Sub(j.Step(step).Room)
+		t.used = t.used.Sub(j.Step(slot).Room)
 	}
-	if len(chosen) < len(j.tasks[step]) {
+	if len(chosen) < len(j.tasks[slot]) {
 		return
 	}
 	for k, t := range chosen {
-		c.assign(now, t, j, step, k, number)
+		c.startRun(now, t, j, slot, k, number)
 	}
 }
 
-// choose returns the slowest worker with room that still meets the objective.
-// If only workers without room do, it returns nil: the task waits for one of
-// them as long as that can still be in time. Else it returns the fastest one
-// with room.
-func (c *Core) choose(now time.Time, j *job, step int, open []*target) *target {
-	st := j.Step(step)
-	nominal := c.expect(j, step)
-	var meets, fastest *target
-	var meetsTime, fastestTime time.Duration
+// chooseTarget returns the slowest worker with free capacity that still meets the
+// objective. If only workers without free capacity meet it, chooseTarget returns
+// nil, and the task waits for one of them while that can still be in time.
+// Otherwise it returns the fastest worker with free capacity.
+func (c *Core) chooseTarget(now time.Time, j *job, slot int, open []*target) *target {
+	step := j.Step(slot)
+	baseTime := c.expectedTime(j, slot)
+	var best, fastest *target
+	var bestTime, fastestTime time.Duration
 	worthWaiting := false
 	for _, t := range open {
-		if !c.suits(j, step, t) {
+		if !c.isEligible(j, slot, t) {
 			continue
 		}
-		took := time.Duration(float64(nominal) * t.slowness() * c.distance(st, t))
-		inTime := c.meets(now, j, took)
-		if !t.free().Holds(st.Room) {
+		expected := time.Duration(float64(baseTime) * t.slowness() * c.distanceFactor(step, t))
+		inTime := c.meetsObjective(now, j, expected)
+		if !t.free().Holds(step.Room) {
 			worthWaiting = worthWaiting || inTime
 			continue
 		}
-		if inTime && (meets == nil || better(took, t, meetsTime, meets)) {
-			meets, meetsTime = t, took
+		if inTime && (best == nil || isBetter(expected, t, bestTime, best)) {
+			best, bestTime = t, expected
 		}
-		if fastest == nil || took < fastestTime {
-			fastest, fastestTime = t, took
+		if fastest == nil || expected < fastestTime {
+			fastest, fastestTime = t, expected
 		}
 	}
-	if meets != nil || worthWaiting {
-		return meets
+	if best != nil || worthWaiting {
+		return best
 	}
 	return fastest
 }
 
-// The real work of a task may be this many times its estimate; the objective
-// follows the real work, too.
+// The real work of a task may be between these multiples of its estimate. The
+// objective scales with the real work, too.
 const (
-	leastWork = 0.5
-	mostWork  = 2.0
+	minWorkFactor = 0.5
+	maxWorkFactor = 2.0
 )
 
-// meets reports whether a task that is placed now on a worker where it is
-// expected to take a time would meet the job's objective, be its real work
-// smaller or larger than estimated.
-func (c *Core) meets(now time.Time, j *job, took time.Duration) bool {
-	gone := now.Sub(j.begun) + c.cfg.Margin
-	gain := float64(j.objective.Sub(j.begun)-j.Queue.Target) - float64(took)
-	fixed := float64(j.Queue.Target - gone)
-	return fixed+leastWork*gain >= 0 && fixed+mostWork*gain >= 0
+// meetsObjective reports whether a task that is placed now with an expected run time
+// would meet the job's objective at both limits of its real work.
+func (c *Core) meetsObjective(now time.Time, j *job, expected time.Duration) bool {
+	elapsed := now.Sub(j.receivedAt) + c.cfg.Margin
+	workSlack := float64(j.objective.Sub(j.receivedAt)-j.Queue.Target) - float64(expected)
+	fixedSlack := float64(j.Queue.Target - elapsed)
+	return fixedSlack+minWorkFactor*workSlack >= 0 && fixedSlack+maxWorkFactor*workSlack >= 0
 }
 
-// better prefers the clearly slower worker, then the one with more room.
-func better(took time.Duration, t *target, bestTook time.Duration, best *target) bool {
-	if diff := took - bestTook; diff > bestTook/similarSpeed || -diff > bestTook/similarSpeed {
-		return took > bestTook
+// isBetter prefers the clearly slower worker, then the one with more free CPU.
+func isBetter(expected time.Duration, t *target, bestTime time.Duration, best *target) bool {
+	if diff := expected - bestTime; diff > bestTime/similarSpeedDivisor || -diff > bestTime/similarSpeedDivisor {
+		return expected > bestTime
 	}
 	return t.free().CPU > best.free().CPU
 }
 
-// similarSpeed is the part of a run time below which two workers count as
-// equally fast: a fifth, since estimates are far less exact.
-const similarSpeed = 5
+// similarSpeedDivisor sets when two workers count as equally fast: their run times
+// differ by at most a fifth, since estimates are far less exact.
+const similarSpeedDivisor = 5
 
-// distance returns how many times as long a task takes on a worker as it would
-// near its data.
-func (c *Core) distance(st *work.Step, t *target) float64 {
-	if st.Affinity != "" && !slices.Contains(t.Labels, st.Affinity) {
+// distanceFactor returns the run time of a task on a worker as a multiple of its run
+// time near its data.
+func (c *Core) distanceFactor(step *work.Step, t *target) float64 {
+	if step.Affinity != "" && !slices.Contains(t.Labels, step.Affinity) {
 		return max(c.cfg.Far, 1)
 	}
 	return 1
 }
 
-// suits reports whether a worker may run tasks of a step.
-func (c *Core) suits(j *job, step int, t *target) bool {
-	st := j.Step(step)
-	if j.Stored && !c.obeys(t) {
+// isEligible reports whether a worker may run tasks of a slot, free capacity aside.
+func (c *Core) isEligible(j *job, slot int, t *target) bool {
+	step := j.Step(slot)
+	if j.Stored && !c.tenureConfirmedBy(t) {
 		return false
 	}
-	if t.Service != j.Queue.Service || j.avoid[t.agent] && c.alternative(j, t) {
+	if t.Service != j.Queue.Service || j.avoid[t.agent] && c.hasAlternative(j, t) {
 		return false
 	}
-	if st.Label != "" && !slices.Contains(t.Labels, st.Label) {
+	if step.Label != "" && !slices.Contains(t.Labels, step.Label) {
 		return false
 	}
-	if st.MaxPerOne == 0 {
+	if step.MaxPerOne == 0 {
 		return true
 	}
 	n := 0
 	for ref := range t.runs {
-		if ref.Job == j.ID && j.Slot(ref) == step {
+		if ref.Job == j.ID && j.Slot(ref) == slot {
 			n++
 		}
 	}
-	return n < st.MaxPerOne
+	return n < step.MaxPerOne
 }
 
-// alternative reports whether some worker of the service is not avoided.
-func (c *Core) alternative(j *job, not *target) bool {
-	for _, name := range c.names {
+// hasAlternative reports whether the job has another worker that it does not avoid.
+func (c *Core) hasAlternative(j *job, excluded *target) bool {
+	for _, name := range c.agentNames {
 		t := c.targets[name]
-		if t != not && t.ready && !t.Draining && t.Service == j.Queue.Service && !j.avoid[name] {
+		if t != excluded && t.ready && !t.Draining && t.Service == j.Queue.Service && !j.avoid[name] {
 			return true
 		}
 	}
 	return false
 }
 
-// assign starts a run of a task.
-func (c *Core) assign(now time.Time, t *target, j *job, step, index, number int) {
-	run := j.ref(step, index)
+// startRun places a task on a worker and orders its agent to start the run.
+func (c *Core) startRun(now time.Time, t *target, j *job, slot, index, number int) {
+	run := j.currentRun(slot, index)
 	run.Number = number
-	tk := c.put(now, t, j, run)
-	st := j.Step(step)
-	if c.out.Starts == nil {
-		c.out.Starts = make(map[string][]work.Start)
+	tk := c.placeRun(now, t, j, run)
+	step := j.Step(slot)
+	if c.decisions.Starts == nil {
+		c.decisions.Starts = make(map[string][]work.Start)
 	}
-	here, expected := time.Duration(float64(st.Estimate)*c.distance(st, t)), tk.expected
+	estimate, expected := time.Duration(float64(step.Estimate)*c.distanceFactor(step, t)), tk.expected
 	if j.Lasts {
-		here, expected = 0, 0
+		estimate, expected = 0, 0
 	}
-	c.out.Starts[t.agent] = append(c.out.Starts[t.agent], work.Start{Run: run, Spec: j.Spec, Room: st.Room, Estimate: here, Expected: expected, Trace: j.Trace, Stored: j.Stored, Checkpoint: tk.saved})
+	c.decisions.Starts[t.agent] = append(c.decisions.Starts[t.agent], work.Start{Run: run, Spec: j.Spec, Room: step.Room, Estimate: estimate, Expected: expected, Trace: j.Trace, Stored: j.Stored, Checkpoint: tk.checkpoint})
 }
 
-// put notes that a run of a pending task is at a worker since began.
-func (c *Core) put(began time.Time, t *target, j *job, run work.Run) *task {
-	step := j.Slot(run.Task)
-	st := j.Step(step)
-	tk := &j.tasks[step][run.Task.Index]
-	tk.state, tk.run, tk.agent, tk.began = placed, run.Number, t.agent, began
+// placeRun records that a run of a pending task is on a worker since startedAt.
+func (c *Core) placeRun(startedAt time.Time, t *target, j *job, run work.Run) *task {
+	slot := j.Slot(run.Task)
+	step := j.Step(slot)
+	tk := &j.tasks[slot][run.Task.Index]
+	tk.state, tk.runNumber, tk.agent, tk.startedAt = placed, run.Number, t.agent, startedAt
 	tk.slowdown = t.slowdown
-	tk.expected = time.Duration(float64(c.expect(j, step)) * t.slowness() * c.distance(st, t))
+	tk.expected = time.Duration(float64(c.expectedTime(j, slot)) * t.slowness() * c.distanceFactor(step, t))
 	j.pending--
 	c.queued--
 	j.running++
-	if !j.sent {
-		j.sent, j.first = true, began
+	if !j.wasSent {
+		j.wasSent, j.firstPlacedAt = true, startedAt
 	}
 	t.runs[run.Task] = run
-	t.used = t.used.Add(st.Room)
+	t.used = t.used.Add(step.Room)
 	return tk
 }
--- a/schedule/report.go
+++ b/schedule/report.go
@@ -8,33 +8,33 @@
 	"masticbay/worker"
 )
 
-// Report is what an agent tells about itself and its worker.
+// Report is what an agent reports about itself and its worker.
 type Report struct {
 	Life    string // incarnation of the agent
 	Target  work.Target
 	Ready   bool      // it takes starts
-	Settled bool      // nothing runs there that this incarnation did not start
-	Others  work.Room // that runs of other entries take
-	Pace    Pace      // as the agent has seen it; told at the first contact
+	Settled bool      // no unknown runs: this incarnation has started all that run there
+	Others  work.Room // used by runs of other entries
+	Pace    Pace      // as the agent measured it; used at the first contact
 	Events  []Event
-	Idle    []work.Run   // runs that are not young and have made no progress
+	Idle    []work.Run   // stalled runs: mature, and without progress
 	Slow    []Projection // runs that go far slower than expected
 	Epoch   uint64       // of the tenure that the agent obeys
-	Asked   bool         // Kept was asked for and is complete
-	Kept    []Kept       // runs of stored jobs
+	Asked   bool         // Kept was requested and is complete
+	Kept    []Kept       // inherited runs: those of stored jobs that a previous holder placed
 }
 
-// Event tells how a run ended.
+// Event reports how a run ended.
 type Event = worker.Event
 
-// Pace is how long the worker's runs take against their estimates.
+// Pace is how long the worker's runs take relative to their estimates.
 type Pace = worker.Pace
 
-// Projection is how long a run that goes slowly will take at least.
+// Projection is the least run time to expect of a slow run.
 type Projection = worker.Projection
 
-// ReportOf returns what the guard of a worker has to tell a home, but for the
-// incarnation of the agent.
+// ReportOf returns the report of a worker's guard to a home, without the incarnation
+// of the agent.
 func ReportOf(g *worker.Guard, home string, acked uint64) Report {
 	t, serves := g.Target()
 	_, others := g.Used(home)
@@ -45,103 +45,105 @@
 	}
 }
 
-// settleTime is how long after a worker came into contact more are expected.
-// Until then no job is turned away for the work that waits before it.
-const settleTime = 400 * time.Millisecond
+// startupTime is the time after the first contact of a worker during which more
+// workers are expected. Until then no job is rejected for the work that waits before it.
+const startupTime = 400 * time.Millisecond
 
-// Report takes what an agent told.
+// Report applies the report of an agent.
 func (c *Core) Report(now time.Time, agent string, r *Report) {
 	t, ok := c.targets[agent]
 	if !ok {
-		t = &target{agent: agent, life: r.Life, factor: 1, slowdown: 1, runs: make(map[work.TaskRef]work.Run)}
-		c.settle = now.Add(settleTime)
+		t = &target{agent: agent, life: r.Life, baseSlowness: 1, slowdown: 1, runs: make(map[work.TaskRef]work.Run)}
+		c.startupUntil = now.Add(startupTime)
 		c.targets[agent] = t
-		c.names = append(c.names, agent)
-		slices.Sort(c.names)
+		c.agentNames = append(c.agentNames, agent)
+		slices.Sort(c.agentNames)
 	}
 	if t.life != r.Life {
 		if !r.Settled {
 			t.ready = false
-			return // what it ran before may not have ended yet
+			return // runs of its previous incarnation may not have ended yet
 		}
-		c.loseRuns(now, t, "agent started anew", true)
-		t.life, t.seq, t.tenure, t.unsaved = r.Life, 0, 0, nil
+		c.lapseRuns(now, t, "agent started anew", true)
+		t.life, t.lastSeq, t.confirmedEpoch, t.uncommitted = r.Life, 0, 0, nil
 	}
 	if t.Born != r.Target.Born {
 		t.slowdown = 1
-		t.slow, t.streak = mean{n: min(r.Pace.Runs, speedWindow), value: r.Pace.Log}, 0
-		t.judge()
+		t.logSlowness, t.consecutiveFailures = movingMean{n: min(r.Pace.Runs, speedWindow), value: r.Pace.Log}, 0
+		t.updateSlowness()
 	}
-	more := r.Ready != t.ready || r.Target.Born != t.Born || r.Others != t.others || now.Sub(t.heard) > c.cfg.Suspect
-	t.Target, t.ready, t.others, t.heard = r.Target, r.Ready, r.Others, now
-	more = c.adopt(now, t, r) || more
+	changed := r.Ready != t.ready || r.Target.Born != t.Born || r.Others != t.usedByOthers || now.Sub(t.lastContact) > c.cfg.Suspect
+	t.Target, t.ready, t.usedByOthers, t.lastContact = r.Target, r.Ready, r.Others, now
+	changed = c.adopt(now, t, r) || changed
 	for _, e := range r.Events {
-		if e.Seq > t.seq {
-			t.seq = e.Seq
-			c.take(now, t, e)
+		if e.Seq > t.lastSeq {
+			t.lastSeq = e.Seq
+			c.applyEvent(now, t, e)
 		}
 	}
-	c.evacuate(t)
-	c.observe(now, t, r.Idle)
-	c.observeSlow(now, t, r.Slow)
-	if more || len(r.Events) > 0 {
-		c.place(now)
+	c.stopLasting(t)
+	c.takeStalled(now, t, r.Idle)
+	c.detectStraggler(now, t, r.Slow)
+	if changed || len(r.Events) > 0 {
+		c.placeWaiting(now)
 	}
 }
 
-// Taken returns the number of the last event of an agent that was taken, and the
-// incarnation of the agent that it belongs to.
+// Taken returns the sequence number of the last event received from an agent, and
+// the incarnation of the agent that sent it.
 func (c *Core) Taken(agent string) (life string, seq uint64) {
 	if t, ok := c.targets[agent]; ok {
-		return t.life, t.seq
+		return t.life, t.lastSeq
 	}
 	return "", 0
 }
 
-// Acked returns the number up to which an agent may forget its events.
+// Acked returns the sequence number up to which an agent may discard its events.
 func (c *Core) Acked(agent string) uint64 {
 	t, ok := c.targets[agent]
 	switch {
 	case !ok:
 		return 0
-	case len(t.unsaved) > 0:
-		return slices.Min(t.unsaved) - 1
+	case len(t.uncommitted) > 0:
+		return slices.Min(t.uncommitted) - 1
 	}
-	return t.seq
+	return t.lastSeq
 }
 
-// Lost tells that all runs at an agent have ended, as far as leases tell.
-func (c *Core) loseAgents(now time.Time) {
-	for _, name := range c.names {
+// expireAgents ends the runs of agents that have been out of contact for longer than
+// the leases of these runs, and deletes agents without runs after agentRetention.
+func (c *Core) expireAgents(now time.Time) {
+	for _, name := range c.agentNames {
 		t := c.targets[name]
-		if now.Sub(t.heard) > c.cfg.Lost && len(t.runs) > 0 {
-			c.loseRuns(now, t, "agent out of contact", now.Sub(t.heard) > c.cfg.LostHeld)
+		if now.Sub(t.lastContact) > c.cfg.Lost && len(t.runs) > 0 {
+			c.lapseRuns(now, t, "agent out of contact", now.Sub(t.lastContact) > c.cfg.LostHeld)
 		}
 	}
-	c.names = slices.DeleteFunc(c.names, func(name string) bool {
+	c.agentNames = slices.DeleteFunc(c.agentNames, func(name string) bool {
 		t := c.targets[name]
-		gone := now.Sub(t.heard) > forgetAgent && len(t.runs) == 0
-		if gone {
+		expired := now.Sub(t.lastContact) > agentRetention && len(t.runs) == 0
+		if expired {
 			delete(c.targets, name)
 		}
-		return gone
+		return expired
 	})
 }
 
-// forgetAgent is the silence after which nothing is kept about an agent.
-const forgetAgent = 30 * time.Second
+// agentRetention is the time without contact after which an agent without runs is
+// deleted.
+const agentRetention = 30 * time.Second
 
-// loseRuns ends the runs at an agent, with or without those of stored jobs.
-func (c *Core) loseRuns(now time.Time, t *target, why string, stored bool) {
-	for _, r := range t.sorted() {
-		if j, ok := c.jobs[r.Task.Job]; ok && j.Stored && !stored {
+// lapseRuns ends the runs at an agent as lapsed, with or without those of stored jobs.
+func (c *Core) lapseRuns(now time.Time, t *target, reason string, includeStored bool) {
+	for _, r := range t.sortedRuns() {
+		if j, ok := c.jobs[r.Task.Job]; ok && j.Stored && !includeStored {
 			continue
 		}
-		c.take(now, t, Event{Run: r, End: work.Lapsed, Reason: why})
+		c.applyEvent(now, t, Event{Run: r, End: work.Lapsed, Reason: reason})
 	}
 }
 
-// Uses reports whether something runs at an agent.
+// Uses reports whether an agent has runs of this home.
 func (c *Core) Uses(agent string) bool {
 	t, ok := c.targets[agent]
 	return ok && len(t.runs) > 0
