--- a/gate/expire.go
+++ b/gate/expire.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// Expire forgets what is older than the retention window. Jobs with a running
-// task and jobs that were touched since are kept for another window.
+// Expire deletes the records that are older than the retention window. A job
+// with a running task or with a change in the last window is kept for another
+// window.
 func (g *Gate) Expire(now time.Time) {
 	for len(g.expiries) > 0 && !g.expiries[0].due.After(now) {
 		e := g.expiries[0]
@@ -14,9 +15,9 @@
 		}
 		g.expireJob(now, e)
 	}
-	for id, until := range g.adopted {
+	for id, until := range g.adoptedUntil {
 		if !until.After(now) {
-			delete(g.adopted, id)
+			delete(g.adoptedUntil, id)
 		}
 	}
 }
@@ -26,7 +27,7 @@
 	if j == nil {
 		return
 	}
-	if j.running == 0 && now.Sub(j.touched) >= g.cfg.Window {
+	if j.running == 0 && now.Sub(j.touchedAt) >= g.cfg.Window {
 		delete(g.jobs, e.job)
 		return
 	}
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -1,27 +1,33 @@
-// Package gate decides, beside a target, whether a task may start.
+// Package gate decides whether a task may start at a target.
 //
 // # Model
 //
-// One Gate lives in each agent. It is the only place where tasks of its target
-// start, so it decides alone that a task starts at most once there, and it is
-// the witness that a task did not start. It keeps, for a retention window:
+// Each agent has one Gate. All tasks of the agent's target start through it, so
+// it guarantees alone that a task starts at most once there, and it can prove
+// that a task did not start. For a retention window it keeps:
 //
 //   - a record of each started task, written before the target is called;
 //   - the attempts that it refused or sealed, which can never start later;
-//   - for each claimed job the highest ballot, which lower ones can not pass.
+//   - for each claimed job the marker: the highest ballot that the agent has
+//     promised, as in Paxos. Lower ballots are rejected.
 //
-// Starts at other agents are excluded by the entries: an entry sends a task to
-// one agent at a time, and another entry that takes over a job first claims it
-// at every registered agent. The rules that make this hold while messages are
-// late, doubled or lost, and while entries and agents join, are in Dispatch.
+// The entries ensure that a task doesn't start at two agents: an entry sends a
+// task to one agent at a time, and an entry that takes over a job first claims
+// it at every registered agent. Dispatch enforces the rules that make this hold
+// while messages are late, duplicated or lost, and while entries and agents
+// join.
+//
+// A stamp is the agent's monotonic time. Entries echo the latest stamp that
+// they have, so that the agent can tell how old a dispatch is. For one window
+// after its start an agent is in its join window, called young on the wire.
 //
 // A Gate does no I/O and reads no clock. It is not safe for concurrent use.
 //
 // # Usage
 //
 //	g := gate.New(id, gate.Config{Window: 2 * time.Minute}, now)
-//	g.List(registryRevision)
-//	switch dec := g.Dispatch(now, &d, free); dec.Verdict {
+//	g.SetListed(registryRevision)
+//	switch decision := g.Dispatch(now, &d, slotFree); decision.Verdict {
 //	case gate.Start:
 //		// call the target, then
 //		g.Finish(now, report)
@@ -36,35 +42,36 @@
 
 // Config holds the times that bound what a Gate remembers and accepts.
 type Config struct {
-	Window    time.Duration // how long records, seals and claims are kept
-	StampLife time.Duration // age of a stamp at which a dispatch is refused
+	Window    time.Duration // how long records, closed attempts and claims are kept
+	StampLife time.Duration // maximum age of a dispatch's stamp
 }
 
-// Gate is the state of one agent's incarnation.
+// Gate decides about the starts of one agent's incarnation and records them.
 type Gate struct {
-	id       string
-	cfg      Config
-	born     time.Time
-	joined   uint64 // registry revision that listed this agent; 0 if none did
-	registry uint64 // highest registry revision seen
-	draining bool
-	running  int
-	jobs     map[job.Key]*jobRecord
-	closed   map[attempt]struct{}
-	expiries []expiry
-	adopted  map[string]time.Time
+	id           string
+	cfg          Config
+	startedAt    time.Time
+	joined       uint64 // registry revision that listed this agent; 0 if none did
+	registry     uint64 // highest registry revision seen
+	draining     bool
+	running      int
+	jobs         map[job.Key]*jobRecord
+	closed       map[attempt]struct{}
+	expiries     []expiry
+	adoptedUntil map[string]time.Time // end of this agent's duty to answer for a predecessor, by incarnation
 }
 
+// attempt identifies one dispatch by its entry and the entry's attempt number.
 type attempt struct {
 	entry string
 	n     uint64
 }
 
 type jobRecord struct {
-	marker  Ballot
-	tasks   map[taskRef]*Report
-	running int
-	touched time.Time
+	marker    Ballot
+	tasks     map[taskRef]*Report
+	running   int
+	touchedAt time.Time
 }
 
 type taskRef struct {
@@ -79,25 +86,25 @@
 	job     job.Key
 }
 
-// New returns a Gate of the incarnation id that starts its life at now.
+// New returns a Gate of the agent's incarnation id, which starts at now.
 func New(id string, cfg Config, now time.Time) *Gate {
 	return &Gate{
-		id:      id,
-		cfg:     cfg,
-		born:    now,
-		jobs:    make(map[job.Key]*jobRecord),
-		closed:  make(map[attempt]struct{}),
-		adopted: make(map[string]time.Time),
+		id:           id,
+		cfg:          cfg,
+		startedAt:    now,
+		jobs:         make(map[job.Key]*jobRecord),
+		closed:       make(map[attempt]struct{}),
+		adoptedUntil: make(map[string]time.Time),
 	}
 }
 
-// ID returns the incarnation.
+// ID returns the agent's incarnation.
 func (g *Gate) ID() string { return g.id }
 
-// Running returns the number of tasks that were started and did not end.
+// Running returns the number of tasks that have started and not ended.
 func (g *Gate) Running() int { return g.running }
 
-// Records returns the number of jobs and of closed attempts that are kept.
+// Records returns the number of jobs and of closed attempts that are recorded.
 func (g *Gate) Records() (jobs, attempts int) {
 	return len(g.jobs), len(g.closed)
 }
@@ -108,17 +115,18 @@
 // Registry returns the highest registry revision that the agent has seen.
 func (g *Gate) Registry() uint64 { return g.registry }
 
-// Young reports whether claims made before the agent joined may still bind.
+// Young reports whether the agent is in its join window, in which claims that
+// were made before it joined may still be in force.
 func (g *Gate) Young(now time.Time) bool {
-	return now.Sub(g.born) < g.cfg.Window
+	return now.Sub(g.startedAt) < g.cfg.Window
 }
 
 // Stamp returns the agent's monotonic time, for entries to echo.
 func (g *Gate) Stamp(now time.Time) time.Duration {
-	return now.Sub(g.born)
+	return now.Sub(g.startedAt)
 }
 
-// List tells that the registry lists this agent as of revision rev.
+// List records that the registry lists this agent since revision rev.
 func (g *Gate) List(rev uint64) {
 	if g.joined == 0 {
 		g.joined = rev
@@ -126,47 +134,47 @@
 	g.Observe(rev)
 }
 
-// Observe tells that some process acts on registry revision rev.
+// Observe records that a process acts on registry revision rev.
 func (g *Gate) Observe(rev uint64) {
 	g.registry = max(g.registry, rev)
 }
 
-// Drain makes the gate refuse all new work, or accept it again.
+// Drain makes the gate refuse all new work, or accept it again if on is false.
 func (g *Gate) Drain(on bool) { g.draining = on }
 
 // Draining reports whether new work is refused.
 func (g *Gate) Draining() bool { return g.draining }
 
-// Dispatch decides about d and records the start if the verdict is Start. The
-// flag free tells whether a slot is free for the task.
-func (g *Gate) Dispatch(now time.Time, d *Dispatch, free bool) Decision {
+// Dispatch decides about d and records the start if the verdict is Start. A
+// slot is free for the task if slotFree is set.
+func (g *Gate) Dispatch(now time.Time, d *Dispatch, slotFree bool) Decision {
 	g.Expire(now)
-	if rep := g.find(d.Task); rep != nil {
-		return Decision{Verdict: Recorded, Report: *rep}
+	if report := g.findReport(d.Task); report != nil {
+		return Decision{Verdict: Recorded, Report: *report}
 	}
-	dec := g.judge(now, d, free)
-	if dec.Verdict != Start {
+	decision := g.decide(now, d, slotFree)
+	if decision.Verdict != Start {
 		g.close(now, d.Entry, d.Attempt)
-		return dec
+		return decision
 	}
 	g.start(now, d.Task)
-	return dec
+	return decision
 }
 
-func (g *Gate) judge(now time.Time, d *Dispatch, free bool) Decision {
-	if reason := g.refusal(now, d); reason != NoReason {
+func (g *Gate) decide(now time.Time, d *Dispatch, slotFree bool) Decision {
+	if reason := g.refusalReason(now, d); reason != NoReason {
 		return Decision{Verdict: Refused, Reason: reason}
 	}
-	if m := g.marker(d.Task.Job); blocks(m, d) {
+	if m := g.marker(d.Task.Job); claimBlocks(m, d) {
 		return Decision{Verdict: Held, Holder: m}
 	}
-	if !free {
+	if !slotFree {
 		return Decision{Verdict: Refused, Reason: Busy}
 	}
 	return Decision{Verdict: Start}
 }
 
-func (g *Gate) refusal(now time.Time, d *Dispatch) Reason {
+func (g *Gate) refusalReason(now time.Time, d *Dispatch) Reason {
 	if d.Agent != g.id {
 		return WrongAgent
 	}
@@ -182,12 +190,12 @@
 	if d.Idempotent {
 		return NoReason
 	}
-	return g.membershipRefusal(now, d)
+	return g.membershipReason(now, d)
 }
 
-// membershipRefusal refuses non-idempotent work that a claim may have decided
-// about without asking this agent.
-func (g *Gate) membershipRefusal(now time.Time, d *Dispatch) Reason {
+// membershipReason returns why to refuse non-idempotent work whose job may have
+// been claimed without asking this agent, or NoReason.
+func (g *Gate) membershipReason(now time.Time, d *Dispatch) Reason {
 	switch {
 	case g.joined == 0:
 		return Unlisted
@@ -199,8 +207,8 @@
 	return NoReason
 }
 
-// blocks reports whether the claim marker m keeps d from starting.
-func blocks(m Ballot, d *Dispatch) bool {
+// claimBlocks reports whether the claim marker m prevents the start of d.
+func claimBlocks(m Ballot, d *Dispatch) bool {
 	if m.Zero() {
 		return false
 	}
@@ -208,29 +216,29 @@
 }
 
 func (g *Gate) start(now time.Time, id TaskID) {
-	j := g.touch(now, id.Job)
+	j := g.touchJob(now, id.Job)
 	j.tasks[taskRef{id.Rerun, id.Index}] = &Report{Task: id, Phase: Running}
 	j.running++
 	g.running++
 }
 
 // Finish records the end of a task that was started.
-func (g *Gate) Finish(now time.Time, rep Report) {
-	cur := g.find(rep.Task)
-	if cur == nil || cur.Phase != Running {
+func (g *Gate) Finish(now time.Time, report Report) {
+	recorded := g.findReport(report.Task)
+	if recorded == nil || recorded.Phase != Running {
 		return
 	}
-	*cur = rep
-	j := g.touch(now, rep.Task.Job)
+	*recorded = report
+	j := g.touchJob(now, report.Task.Job)
 	j.running--
 	g.running--
 }
 
-// Abort takes back the start of a task that was proven not to have reached the
-// target, and refuses the attempt from then on.
+// Abort removes the record of a start that provably did not reach the target,
+// and closes the attempt.
 func (g *Gate) Abort(now time.Time, d *Dispatch) Decision {
-	cur := g.find(d.Task)
-	if cur == nil || cur.Phase != Running {
+	recorded := g.findReport(d.Task)
+	if recorded == nil || recorded.Phase != Running {
 		return Decision{Verdict: Refused, Reason: Repeated}
 	}
 	j := g.jobs[d.Task.Job]
@@ -241,24 +249,24 @@
 	return Decision{Verdict: Refused, Reason: TargetDown}
 }
 
-// Seal closes the attempts in s and tells the state of their tasks.
+// Seal closes the attempts in s and returns the state of their tasks.
 func (g *Gate) Seal(now time.Time, s *Seal) []Decision {
 	g.Expire(now)
-	decs := make([]Decision, len(s.Items))
-	for i, it := range s.Items {
-		decs[i] = g.sealOne(now, s, it)
+	decisions := make([]Decision, len(s.Items))
+	for i, item := range s.Items {
+		decisions[i] = g.sealOne(now, s, item)
 	}
-	return decs
+	return decisions
 }
 
-func (g *Gate) sealOne(now time.Time, s *Seal, it SealItem) Decision {
+func (g *Gate) sealOne(now time.Time, s *Seal, item SealItem) Decision {
 	if !g.answersFor(s.Agent) {
 		return Decision{Verdict: Lost}
 	}
-	if rep := g.find(it.Task); rep != nil {
-		return Decision{Verdict: Recorded, Report: *rep}
+	if report := g.findReport(item.Task); report != nil {
+		return Decision{Verdict: Recorded, Report: *report}
 	}
-	if !g.close(now, s.Entry, it.Attempt) {
+	if !g.close(now, s.Entry, item.Attempt) {
 		return Decision{Verdict: Sealed, Reason: Repeated}
 	}
 	return Decision{Verdict: Sealed}
@@ -268,11 +276,11 @@
 	if id == g.id {
 		return true
 	}
-	_, ok := g.adopted[id]
+	_, ok := g.adoptedUntil[id]
 	return ok
 }
 
-func (g *Gate) find(id TaskID) *Report {
+func (g *Gate) findReport(id TaskID) *Report {
 	j := g.jobs[id.Job]
 	if j == nil {
 		return nil
@@ -287,18 +295,19 @@
 	return Ballot{}
 }
 
-func (g *Gate) touch(now time.Time, k job.Key) *jobRecord {
+func (g *Gate) touchJob(now time.Time, k job.Key) *jobRecord {
 	j := g.jobs[k]
 	if j == nil {
 		j = &jobRecord{tasks: make(map[taskRef]*Report)}
 		g.jobs[k] = j
 		g.expiries = append(g.expiries, expiry{due: now.Add(g.cfg.Window), job: k})
 	}
-	j.touched = now
+	j.touchedAt = now
 	return j
 }
 
-// close rules the attempt out for good. It reports false if it was before.
+// close prevents the attempt from ever starting. It reports false if the
+// attempt was already closed.
 func (g *Gate) close(now time.Time, entry string, n uint64) bool {
 	a := attempt{entry, n}
 	if _, ok := g.closed[a]; ok {
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -10,13 +10,14 @@
 
 const window = time.Minute
 
-var born = time.Unix(1_000_000, 0)
+var startedAt = time.Unix(1_000_000, 0)
 
-// listed returns a gate that is listed at revision 5 and no longer young.
-func listed() (g *gate.Gate, now time.Time) {
-	g = gate.New("a1", gate.Config{Window: window, StampLife: time.Second}, born)
+// newListedGate returns a gate that is listed at revision 5, at a time after its
+// join window.
+func newListedGate() (g *gate.Gate, now time.Time) {
+	g = gate.New("a1", gate.Config{Window: window, StampLife: time.Second}, startedAt)
 	g.List(5)
-	return g, born.Add(window)
+	return g, startedAt.Add(window)
 }
 
 func dispatchOf(g *gate.Gate, now time.Time, attempt uint64) gate.Dispatch {
@@ -26,33 +27,33 @@
 	}
 }
 
-func TestSecondDispatchGetsTheRecord(t *testing.T) {
-	g, now := listed()
+func TestSecondDispatchReturnsRecord(t *testing.T) {
+	g, now := newListedGate()
 	d := dispatchOf(g, now, 1)
-	if dec := g.Dispatch(now, &d, true); dec.Verdict != gate.Start {
-		t.Fatalf("first dispatch: %+v", dec)
+	if decision := g.Dispatch(now, &d, true); decision.Verdict != gate.Start {
+		t.Fatalf("first dispatch: %+v", decision)
 	}
 	g.Finish(now, gate.Report{Task: d.Task, Phase: gate.Succeeded, Result: []byte("7")})
 	d.Attempt = 2
-	dec := g.Dispatch(now, &d, true)
-	if dec.Verdict != gate.Recorded || string(dec.Report.Result) != "7" {
-		t.Errorf("second dispatch: %+v", dec)
+	decision := g.Dispatch(now, &d, true)
+	if decision.Verdict != gate.Recorded || string(decision.Report.Result) != "7" {
+		t.Errorf("second dispatch: %+v", decision)
 	}
 }
 
 func TestSealedAttemptNeverStarts(t *testing.T) {
-	g, now := listed()
+	g, now := newListedGate()
 	d := dispatchOf(g, now, 1)
 	s := gate.Seal{Entry: "e1", Agent: "a1", Items: []gate.SealItem{{Task: d.Task, Attempt: 1}}}
-	if dec := g.Seal(now, &s)[0]; dec.Verdict != gate.Sealed {
-		t.Fatalf("seal: %+v", dec)
+	if decision := g.Seal(now, &s)[0]; decision.Verdict != gate.Sealed {
+		t.Fatalf("seal: %+v", decision)
 	}
-	if dec := g.Dispatch(now, &d, true); dec.Verdict != gate.Refused || dec.Reason != gate.Repeated {
-		t.Errorf("sealed attempt: %+v", dec)
+	if decision := g.Dispatch(now, &d, true); decision.Verdict != gate.Refused || decision.Reason != gate.Repeated {
+		t.Errorf("sealed attempt: %+v", decision)
 	}
 }
 
-func TestRefusals(t *testing.T) {
+func TestRefusalReasons(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		change func(*gate.Gate, *gate.Dispatch)
@@ -61,30 +62,30 @@
 		want   gate.Reason
 	}{
 		{"unlisted", func(g *gate.Gate, _ *gate.Dispatch) {
-			*g = *gate.New("a1", gate.Config{Window: window, StampLife: time.Hour}, born)
+			*g = *gate.New("a1", gate.Config{Window: window, StampLife: time.Hour}, startedAt)
 		}, 0, true, gate.Unlisted},
 		{"old registry", func(_ *gate.Gate, d *gate.Dispatch) { d.Registry = 4 }, 0, true, gate.OldRegistry},
 		{"young", func(_ *gate.Gate, _ *gate.Dispatch) {}, -time.Second, true, gate.Young},
-		{"late", func(_ *gate.Gate, _ *gate.Dispatch) {}, 2 * time.Second, true, gate.Stale},
-		{"deadline", func(_ *gate.Gate, d *gate.Dispatch) { d.StartWithin = time.Millisecond }, 2 * time.Millisecond, true, gate.Stale},
+		{"stale stamp", func(_ *gate.Gate, _ *gate.Dispatch) {}, 2 * time.Second, true, gate.Stale},
+		{"start limit passed", func(_ *gate.Gate, d *gate.Dispatch) { d.StartWithin = time.Millisecond }, 2 * time.Millisecond, true, gate.Stale},
 		{"busy", func(_ *gate.Gate, _ *gate.Dispatch) {}, 0, false, gate.Busy},
 		{"draining", func(g *gate.Gate, _ *gate.Dispatch) { g.Drain(true) }, 0, true, gate.Draining},
 		{"wrong agent", func(_ *gate.Gate, d *gate.Dispatch) { d.Agent = "a0" }, 0, true, gate.WrongAgent},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			g, now := listed()
+			g, now := newListedGate()
 			d := dispatchOf(g, now, 1)
 			tc.change(g, &d)
-			dec := g.Dispatch(now.Add(tc.after), &d, tc.free)
-			if dec.Verdict != gate.Refused || dec.Reason != tc.want {
-				t.Errorf("got %+v, want refusal %v", dec, tc.want)
+			decision := g.Dispatch(now.Add(tc.after), &d, tc.free)
+			if decision.Verdict != gate.Refused || decision.Reason != tc.want {
+				t.Errorf("got %+v, want refusal %v", decision, tc.want)
 			}
 		})
 	}
 }
 
-func TestClaimBindsAndReports(t *testing.T) {
-	g, now := listed()
+func TestClaimSetsMarkerAndReports(t *testing.T) {
+	g, now := newListedGate()
 	d := dispatchOf(g, now, 1)
 	g.Dispatch(now, &d, true)
 	claim := func(entry string, n, registry uint64) gate.Grant {
@@ -102,45 +103,45 @@
 	}
 	other := dispatchOf(g, now, 2)
 	other.Task.Index = 1
-	if dec := g.Dispatch(now, &other, true); dec.Verdict != gate.Held {
-		t.Errorf("dispatch against the claim: %+v", dec)
+	if decision := g.Dispatch(now, &other, true); decision.Verdict != gate.Held {
+		t.Errorf("dispatch against the claim: %+v", decision)
 	}
 }
 
-func TestHandoverAnswersForTheLeaver(t *testing.T) {
-	g, now := listed()
+func TestImportAnswersForLeavingAgent(t *testing.T) {
+	g, now := newListedGate()
 	d := dispatchOf(g, now, 1)
 	g.Dispatch(now, &d, true)
 	g.Drain(true)
 	if _, ok := g.Export(now); ok {
-		t.Fatal("exported while a task runs")
+		t.Fatal("Export succeeded while a task runs")
 	}
 	g.Finish(now, gate.Report{Task: d.Task, Phase: gate.Succeeded})
 	h, _ := g.Export(now)
-	heir := gate.New("a2", gate.Config{Window: window}, born)
-	heir.Import(now, &h)
+	successor := gate.New("a2", gate.Config{Window: window}, startedAt)
+	successor.Import(now, &h)
 	seal := gate.Seal{Entry: "e1", Agent: "a1", Items: []gate.SealItem{{Task: d.Task, Attempt: 1}, {Task: gate.TaskID{Job: job.Key("t/x")}, Attempt: 2}}}
-	decs := heir.Seal(now, &seal)
-	if decs[0].Verdict != gate.Recorded || decs[1].Verdict != gate.Sealed {
-		t.Errorf("seals at the heir: %+v", decs)
+	decisions := successor.Seal(now, &seal)
+	if decisions[0].Verdict != gate.Recorded || decisions[1].Verdict != gate.Sealed {
+		t.Errorf("seals at the successor: %+v", decisions)
 	}
 	seal.Agent = "a9"
-	if dec := heir.Seal(now, &seal)[0]; dec.Verdict != gate.Lost {
-		t.Errorf("seal for an unknown agent: %+v", dec)
+	if decision := successor.Seal(now, &seal)[0]; decision.Verdict != gate.Lost {
+		t.Errorf("seal for an unknown agent: %+v", decision)
 	}
 }
 
 func TestRecordsExpire(t *testing.T) {
-	g, now := listed()
+	g, now := newListedGate()
 	d := dispatchOf(g, now, 1)
 	g.Dispatch(now, &d, true)
 	g.Expire(now.Add(10 * window))
 	if jobs, _ := g.Records(); jobs != 1 {
-		t.Fatal("forgot a running task")
+		t.Fatal("the record of a running task expired")
 	}
 	g.Finish(now.Add(10*window), gate.Report{Task: d.Task, Phase: gate.Succeeded})
 	g.Expire(now.Add(12 * window))
 	if jobs, attempts := g.Records(); jobs+attempts != 0 {
-		t.Errorf("%d jobs and %d attempts are kept", jobs, attempts)
+		t.Errorf("%d jobs and %d attempts are still recorded", jobs, attempts)
 	}
 }
--- a/gate/handover.go
+++ b/gate/handover.go
@@ -8,22 +8,22 @@
 	"masticbay/job"
 )
 
-// Handover is what a leaving agent gives to a peer of the same service, so
-// that claims and seals meant for it are still answered.
+// Handover is the record that a leaving agent sends to its heir, its successor
+// of the same service, which answers claims and seals meant for it.
 type Handover struct {
 	Agents   []string // the incarnations that the receiver answers for
 	Registry uint64
 	Jobs     []HandoverJob
 }
 
-// HandoverJob is the record of one job.
+// HandoverJob is the record of one job in a Handover.
 type HandoverJob struct {
 	Job    job.Key
 	Marker Ballot
 	Tasks  []Report
 }
 
-// Export returns the record of a gate that is draining and runs nothing. It
+// Export returns the record of a draining gate without running tasks. It
 // reports false while a task may still start or end.
 func (g *Gate) Export(now time.Time) (h Handover, ok bool) {
 	if !g.draining || g.running > 0 {
@@ -31,7 +31,7 @@
 	}
 	g.Expire(now)
 	h.Agents = append(h.Agents, g.id)
-	h.Agents = slices.AppendSeq(h.Agents, maps.Keys(g.adopted))
+	h.Agents = slices.AppendSeq(h.Agents, maps.Keys(g.adoptedUntil))
 	slices.Sort(h.Agents)
 	h.Registry = g.registry
 	for _, k := range slices.Sorted(maps.Keys(g.jobs)) {
@@ -41,11 +41,11 @@
 	return h, true
 }
 
-// Import adds the record of a peer that has left. Attempts that the peer
-// closed need no record: it starts nothing any more.
+// Import adds the record of a peer that has left. The attempts that the peer
+// closed need no record, since the peer starts no more tasks.
 func (g *Gate) Import(now time.Time, h *Handover) {
 	for _, id := range h.Agents {
-		g.adopted[id] = now.Add(g.cfg.Window)
+		g.adoptedUntil[id] = now.Add(g.cfg.Window)
 	}
 	g.Observe(h.Registry)
 	for _, hj := range h.Jobs {
@@ -54,15 +54,15 @@
 }
 
 func (g *Gate) importJob(now time.Time, hj HandoverJob) {
-	j := g.touch(now, hj.Job)
+	j := g.touchJob(now, hj.Job)
 	if j.marker.Less(hj.Marker) {
 		j.marker = hj.Marker
 	}
 	for i := range hj.Tasks {
-		rep := hj.Tasks[i]
-		ref := taskRef{rep.Task.Rerun, rep.Task.Index}
+		report := hj.Tasks[i]
+		ref := taskRef{report.Task.Rerun, report.Task.Index}
 		if j.tasks[ref] == nil {
-			j.tasks[ref] = &rep
+			j.tasks[ref] = &report
 		}
 	}
 }
--- a/gate/message.go
+++ b/gate/message.go
@@ -14,7 +14,8 @@
 	Index int
 }
 
-// Ballot orders rival claims of a job. The zero Ballot stands for no claim.
+// Ballot orders rival claims of a job, as in Paxos. The zero Ballot stands for
+// no claim.
 type Ballot struct {
 	N     uint64
 	Entry string // incarnation of the claiming entry
@@ -37,34 +38,34 @@
 type Dispatch struct {
 	Task        TaskID
 	Entry       string // incarnation of the entry that asks
-	Agent       string // incarnation of the agent that is meant
+	Agent       string // incarnation of the addressed agent
 	Attempt     uint64 // never reused within one incarnation of an entry
 	Ballot      Ballot
 	Registry    uint64 // registry revision at the job's admission or claim
 	Idempotent  bool
-	Stamp       time.Duration // latest stamp of the agent that the entry holds
-	StartWithin time.Duration // from Stamp on; the task must not start later
+	Stamp       time.Duration // latest stamp of the agent that the entry has received
+	StartWithin time.Duration // limit for the start, measured from Stamp
 	Service     string
 	Team        string
 	Payload     []byte
 	Trace       string // W3C traceparent
 }
 
-// Verdict is what the gate decided about a dispatch, a seal or a claim.
+// Verdict is the gate's decision about a dispatch or an item of a seal.
 type Verdict uint8
 
 // The verdicts. Refused, Held and Sealed prove that the attempt did not start
 // the task and never will.
 const (
 	Start    Verdict = iota // the caller of the gate must start the task now
-	Recorded                // the task was started before; Report tells its state
-	Refused                 // not started; Reason tells why
+	Recorded                // the task was started before; Report holds its state
+	Refused                 // not started; Reason says why
 	Held                    // not started; another entry holds the job's claim
-	Sealed                  // not started; sealed by request (Reason Repeated: it was closed before)
-	Lost                    // the agent that is meant is gone; nothing is known
+	Sealed                  // not started; sealed by request (Reason is Repeated if it was already closed)
+	Lost                    // the addressed agent is gone; nothing is known
 )
 
-// Reason tells why a dispatch was refused.
+// Reason says why a dispatch was refused.
 type Reason uint8
 
 // The reasons of a refusal.
@@ -72,13 +73,13 @@
 	NoReason    Reason = iota
 	Unlisted           // the agent is not in the registry yet
 	OldRegistry        // the job was admitted before the agent joined
-	Young              // the agent can not know of claims made before it joined
-	Stale              // the dispatch was too long on its way
+	Young              // the agent is in its join window: it may not know claims made before it joined
+	Stale              // the dispatch was in transit for too long
 	Busy               // no free slot
 	Draining           // the agent takes no new work
-	WrongAgent         // another incarnation was meant
+	WrongAgent         // the dispatch is addressed to another incarnation
 	Repeated           // the attempt was refused or sealed before
-	TargetDown         // no connection to the target could be made
+	TargetDown         // the target could not be connected to
 )
 
 var reasonNames = [...]string{"", "unlisted", "oldRegistry", "young", "stale", "busy", "draining", "wrongAgent", "repeated", "targetDown"}
@@ -88,7 +89,7 @@
 	return reasonNames[r]
 }
 
-// Phase is how far a started task has come.
+// Phase is the state of a started task.
 type Phase uint8
 
 // The phases of a started task.
@@ -119,19 +120,19 @@
 type SealItem struct {
 	Task    TaskID
 	Attempt uint64
-	Epoch   uint64 // of the credit that the attempt has spent
+	Epoch   uint64 // of the credit that the attempt spent
 }
 
-// Seal asks an agent never to start the listed attempts, and to tell the state
-// of their tasks.
+// Seal asks an agent to close the listed attempts, so that they never start, and
+// to report the state of their tasks.
 type Seal struct {
 	Entry string
-	Agent string // incarnation of the agent that got the dispatches
+	Agent string // incarnation of the agent that the dispatches were sent to
 	Items []SealItem
 }
 
-// Claim asks an agent what it started of some jobs, and to obey no lower
-// ballot for them from then on.
+// Claim asks an agent which tasks of some jobs it started, and to accept no
+// lower ballot for these jobs from then on.
 type Claim struct {
 	Entry    string
 	Agent    string // incarnation that the registry lists
@@ -150,7 +151,7 @@
 	Job      job.Key
 	Ballot   Ballot // of the request
 	OK       bool
-	Holder   Ballot // the higher ballot, when another claim is in the way
-	Registry uint64 // the newer revision, when the claim covered an old one
+	Holder   Ballot // the higher ballot, if another claim holds the job
+	Registry uint64 // the newer revision, if the claim covered an older one
 	Reports  []Report
 }
