--- a/credit/balance.go
+++ b/credit/balance.go
@@ -1,15 +1,13 @@
 package credit
 
-// Purse is what one entry holds of one agent's credits. The zero Purse is
-// empty.
+// Purse holds an entry's credits of one agent. The zero Balance is empty.
 type Purse struct {
 	offer    Offer
 	spent    uint64
 	returned uint64
 }
 
-// Apply takes over the state of the loan from a message of the agent. Older
-// states are ignored.
+// Apply updates the loan from a message of the agent. It ignores older states.
 func (p *Purse) Apply(o Offer) {
 	switch {
 	case o.Epoch > p.offer.Epoch:
@@ -28,21 +26,21 @@
 	return int(p.offer.Granted - used)
 }
 
-// Spend takes one credit and returns the epoch to send along.
+// Spend uses one credit and returns the epoch to send with the dispatch.
 func (p *Purse) Spend() (epoch uint64) {
 	p.spent++
 	return p.offer.Epoch
 }
 
-// Restore takes back a spent credit whose dispatch never left the entry.
+// Restore refunds a spent credit whose dispatch was never sent.
 func (p *Purse) Restore(epoch uint64) {
 	if epoch == p.offer.Epoch && p.spent > 0 {
 		p.spent--
 	}
 }
 
-// GiveBack returns up to n credits and reports the epoch and the total that
-// was given back in it.
+// GiveBack gives up to n credits back to the agent. It returns the epoch and
+// the total of the credits returned in it.
 func (p *Purse) GiveBack(n int) (epoch, total uint64) {
 	p.returned += uint64(min(n, p.Available()))
 	return p.offer.Epoch, p.returned
--- a/credit/credit_test.go
+++ b/credit/credit_test.go
@@ -8,32 +8,32 @@
 	"masticbay/credit"
 )
 
-// TestLoansNeverExceedTheSlots runs random entries against one lender, with
-// replies that come late, and checks that no more runs or is lent than there
-// are slots.
-func TestLoansNeverExceedTheSlots(t *testing.T) {
+// TestLoansNeverExceedSlots performs random operations of entries on one lender,
+// with delayed replies, and checks that running tasks and lent credits never
+// exceed the slots.
+func TestLoansNeverExceedSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 8).Draw(t, "slots")
 		l := credit.NewLender(rapid.IntRange(1, 6).Draw(t, "threshold"))
 		l.SetSlots(slots)
 		names := []string{"e1", "e2", "e3"}
-		purses := make(map[string]*credit.Purse)
+		balances := make(map[string]*credit.Purse)
 		for _, n := range names {
-			purses[n] = &credit.Purse{}
+			balances[n] = &credit.Purse{}
 		}
 		var running []string
 		t.Repeat(map[string]func(*rapid.T){
 			"spread": func(t *rapid.T) { l.Spread(rapid.SampledFrom(names).Draw(t, "entry")) },
 			"learn": func(t *rapid.T) {
 				e := rapid.SampledFrom(names).Draw(t, "entry")
-				purses[e].Apply(l.Offer(e))
+				balances[e].Apply(l.Offer(e))
 			},
 			"dispatch": func(t *rapid.T) {
 				e := rapid.SampledFrom(names).Draw(t, "entry")
-				if purses[e].Available() == 0 {
+				if balances[e].Available() == 0 {
 					t.Skip()
 				}
-				epoch := purses[e].Spend()
+				epoch := balances[e].Spend()
 				free := l.Free(e, epoch)
 				l.Settle(e, epoch, rapid.IntRange(0, 9).Draw(t, "demand"), free)
 				if free {
@@ -50,33 +50,33 @@
 			"ask": func(t *rapid.T) { l.Ask(rapid.SampledFrom(names).Draw(t, "entry"), 3) },
 			"recall": func(t *rapid.T) {
 				e := rapid.SampledFrom(names).Draw(t, "entry")
-				epoch, total := purses[e].GiveBack(2)
+				epoch, total := balances[e].GiveBack(2)
 				l.Return(e, epoch, total, 0)
 			},
 			"forget": func(t *rapid.T) { l.Forget(rapid.SampledFrom(names).Draw(t, "entry")) },
 			"": func(t *rapid.T) {
 				if l.Running() != len(running) || l.Running()+l.Lent() > slots {
-					t.Fatalf("%d run and %d are lent of %d slots", l.Running(), l.Lent(), slots)
+					t.Fatalf("%d tasks run and %d credits are lent, with %d slots", l.Running(), l.Lent(), slots)
 				}
 			},
 		})
 	})
 }
 
-func TestCreditGoesWhereTasksWait(t *testing.T) {
+func TestFreedSlotGoesToEntryWithDemand(t *testing.T) {
 	l := credit.NewLender(2)
 	l.SetSlots(1)
 	l.Spread("e1")
 	l.Settle("e1", l.Offer("e1").Epoch, 0, true)
 	if holders := l.Ask("e2", 5); len(holders) != 0 {
-		t.Errorf("asked %v for credits that nobody holds", holders)
+		t.Errorf("Ask returned holders %v, want none: no entry holds a credit", holders)
 	}
 	if moved := l.Finish("e1"); len(moved) != 1 || moved[0] != "e2" {
-		t.Errorf("the credit went to %v", moved)
+		t.Errorf("the slot was lent to %v, want e2", moved)
 	}
 }
 
-func TestSlotsOfAForgottenEntryAreSpare(t *testing.T) {
+func TestSlotsOfRevokedLoanBecomeSpare(t *testing.T) {
 	l := credit.NewLender(1)
 	l.SetSlots(1)
 	l.Spread("dead")
@@ -85,6 +85,6 @@
 	_ = l.Offer("dead")
 	l.Finish("dead")
 	if l.Lent() != 0 || l.Idle("e1") != 1 {
-		t.Errorf("%d credits are lent, %d slots idle", l.Lent(), l.Idle("e1"))
+		t.Errorf("%d credits are lent and %d slots are idle, want 0 and 1", l.Lent(), l.Idle("e1"))
 	}
 }
--- a/credit/lender.go
+++ b/credit/lender.go
@@ -1,21 +1,21 @@
-// Package credit binds tasks to free slots without probing.
+// Package credit assigns tasks to free slots without probing.
 //
 // # Model
 //
 // An agent lends the free slots of its target as credits to entries. A task
 // waits in its entry until the entry holds a credit; the dispatch spends it,
-// and the reply, sent when the task has ended, usually brings it back. So a
-// task costs two messages, and it is bound to a slot only when one is free.
+// and the reply, sent when the task has ended, usually grants a new one. So a
+// task costs two messages, and it is assigned to a slot only when one is free.
 //
 // A Lender moves a credit to another entry when that entry's reported demand
 // exceeds the demand of the current borrower by Threshold. A low threshold
 // favours response time, a high one saves messages.
 //
-// Loans are counted with totals that only grow within an epoch, so that
-// replies may arrive out of order or twice. The agent starts a new epoch for
-// an entry when it takes back credits that the entry may still count on.
+// A loan is counted by totals that only grow within an epoch, so that replies may
+// arrive out of order or twice. The agent starts a new epoch for an entry after
+// it has revoked credits that the entry may still count on.
 //
-// Lender and Purse do no I/O and are not safe for concurrent use.
+// Lender and Balance do no I/O and are not safe for concurrent use.
 //
 // # Usage
 //
@@ -23,15 +23,15 @@
 //
 //	free := l.Free(entry, epoch)
 //	dec := g.Dispatch(now, &d, free)
-//	l.Settle(entry, epoch, demand, dec.Verdict == gate.Start)
+//	l.DispatchDecided(entry, epoch, demand, dec.Verdict == gate.Start)
 //
-// and when the task ends, moved names the entries to notify:
+// When the task ends, moved lists the entries to notify:
 //
 //	moved := l.Finish(entry)
 //	reply.Offer = l.Offer(entry)
 package credit
 
-// Offer is the state of a loan as the agent counts it.
+// Offer is the state of a loan at the agent.
 type Offer struct {
 	Epoch   uint64
 	Granted uint64 // credits granted in this epoch
@@ -48,25 +48,28 @@
 	order     []string // entries in the order of their first contact
 }
 
+// loan holds the credits and the running tasks of one entry.
 type loan struct {
 	epoch    uint64
 	granted  uint64
 	spent    uint64
 	returned uint64
 	demand   int
-	running  int // tasks of the entry
+	running  int // tasks of the entry on the target
 }
 
-// holding returns the number of slots that the entry uses or may use.
-func (l *loan) holding() int { return l.running + l.outstanding() }
+// slotsHeld returns the number of slots that the entry occupies or has credits
+// for.
+func (l *loan) slotsHeld() int { return l.running + l.outstanding() }
 
+// outstanding returns the number of credits that the entry can still spend.
 func (l *loan) outstanding() int {
 	return int(l.granted - l.spent - l.returned)
 }
 
 // NewLender returns a Lender that moves credits at a difference in demand of
-// threshold tasks. The epoch must be higher than that of an earlier Lender
-// under the same incarnation.
+// threshold tasks. Its epochs start at 1, so an incarnation must not replace
+// its Lender by a new one.
 func NewLender(threshold int) *Lender {
 	return &Lender{threshold: max(1, threshold), loans: make(map[string]*loan)}
 }
@@ -78,10 +81,10 @@
 // Slots returns the number of slots.
 func (l *Lender) Slots() int { return l.slots }
 
-// Running returns the number of slots in use.
+// Running returns the number of slots that are in use.
 func (l *Lender) Running() int { return l.running }
 
-// Lent returns the number of credits that entries hold and did not spend.
+// Lent returns the number of credits that entries can still spend.
 func (l *Lender) Lent() (n int) {
 	for _, ln := range l.loans {
 		n += ln.outstanding()
@@ -89,6 +92,7 @@
 	return n
 }
 
+// spare returns the number of slots that are neither in use nor lent.
 func (l *Lender) spare() int {
 	return l.slots - l.running - l.Lent()
 }
@@ -102,13 +106,14 @@
 	return max(0, idle)
 }
 
-// Used reports whether entry holds credits or runs tasks.
+// Used reports whether entry holds credits or has running tasks.
 func (l *Lender) Used(entry string) bool {
 	ln := l.loans[entry]
-	return ln != nil && ln.holding() > 0
+	return ln != nil && ln.slotsHeld() > 0
 }
 
-func (l *Lender) loan(entry string) *loan {
+// ensureLoan returns the loan of entry, in a new epoch if it has none.
+func (l *Lender) ensureLoan(entry string) *loan {
 	ln := l.loans[entry]
 	if ln != nil {
 		return ln
@@ -132,25 +137,26 @@
 	return Offer{Epoch: ln.epoch, Granted: ln.granted}
 }
 
-// Free reports whether a dispatch of entry finds a slot: one that its credit
-// stands for, or else one that is not lent.
+// Free reports whether a dispatch of entry can have a slot: the one that its
+// credit stands for, or else one that is not lent.
 func (l *Lender) Free(entry string, epoch uint64) bool {
 	if l.running >= l.slots {
 		return false
 	}
-	ln := l.loan(entry)
-	return ln.valid(epoch) || l.spare() > 0
+	ln := l.ensureLoan(entry)
+	return ln.hasCredit(epoch) || l.spare() > 0
 }
 
-func (l *loan) valid(epoch uint64) bool {
+// hasCredit reports whether a dispatch that names epoch can spend a credit.
+func (l *loan) hasCredit(epoch uint64) bool {
 	return epoch == l.epoch && l.outstanding() > 0
 }
 
-// Settle records the outcome of a dispatch and the entry's remaining demand.
+// Settle records the decision about a dispatch and the entry's remaining demand.
 func (l *Lender) Settle(entry string, epoch uint64, demand int, started bool) {
-	ln := l.loan(entry)
+	ln := l.ensureLoan(entry)
 	ln.demand = demand
-	if ln.valid(epoch) {
+	if ln.hasCredit(epoch) {
 		ln.spent++
 	}
 	if started {
@@ -158,92 +164,96 @@
 		ln.running++
 		return
 	}
-	l.refill(entry)
+	l.lendSpareTo(entry)
 }
 
-// Discard records that the dispatch that spent a credit never arrives.
+// Discard records that the dispatch that spent a credit will never arrive.
 func (l *Lender) Discard(entry string, epoch uint64) {
-	ln := l.loan(entry)
-	if ln.valid(epoch) {
+	ln := l.ensureLoan(entry)
+	if ln.hasCredit(epoch) {
 		ln.spent++
-		l.refill(entry)
+		l.lendSpareTo(entry)
 	}
 }
 
 // Finish frees the slot of a task that entry dispatched, and lends it again.
-// It returns the entries other than entry whose loan has grown. The slot of an
-// entry that was forgotten is lent to one that needs it, or stays spare.
+// It returns the entries other than entry whose loan has grown. If the loan of
+// entry was revoked, the slot is lent to an entry with demand, or stays spare.
 func (l *Lender) Finish(entry string) []string {
 	l.running--
 	ln := l.loans[entry]
 	if ln == nil {
-		return l.lendSpare()
+		return l.lendByDemand()
 	}
 	if ln.running > 0 {
 		ln.running--
 	}
-	return l.lend(entry)
+	return l.lendFreed(entry)
 }
 
-// lendSpare lends a spare slot to the entry with the highest demand.
-func (l *Lender) lendSpare() []string {
-	var best string
-	most := 0
+// lendByDemand lends a spare slot to the entry with the highest demand, and
+// returns that entry.
+func (l *Lender) lendByDemand() []string {
+	var chosen string
+	highestDemand := 0
 	for _, id := range l.order {
-		if n := l.loans[id].demand; n > most && l.spare() > 0 {
-			best, most = id, n
+		if n := l.loans[id].demand; n > highestDemand && l.spare() > 0 {
+			chosen, highestDemand = id, n
 		}
 	}
-	if most == 0 {
+	if highestDemand == 0 {
 		return nil
 	}
-	l.loans[best].granted++
-	return []string{best}
+	l.loans[chosen].granted++
+	return []string{chosen}
 }
 
-func (l *Lender) refill(entry string) {
+// lendSpareTo lends a slot to entry if one is spare.
+func (l *Lender) lendSpareTo(entry string) {
 	if l.spare() > 0 {
-		l.loan(entry).granted++
+		l.ensureLoan(entry).granted++
 	}
 }
 
-func (l *Lender) lend(entry string) []string {
+// lendFreed lends a slot that a task of entry has freed. It returns the borrower
+// unless that is entry itself.
+func (l *Lender) lendFreed(entry string) []string {
 	if l.spare() <= 0 {
 		return nil
 	}
-	to := l.neediest(entry)
-	l.loan(to).granted++
+	to := l.chooseBorrower(entry)
+	l.ensureLoan(to).granted++
 	if to == entry {
 		return nil
 	}
 	return []string{to}
 }
 
-// neediest returns the entry to lend a credit to that entry has just used. It
-// stays with entry, unless another one that has spent what it holds needs it
-// more: one with at least threshold waiting tasks while none waits at entry,
-// or one that holds less than its even share while entry holds more.
-func (l *Lender) neediest(entry string) string {
-	own := l.loan(entry)
-	share := l.share()
-	best, least := entry, l.slots
+// chooseBorrower returns the entry that the slot freed by a task of entry is lent
+// to. That is entry itself, unless another entry has spent all its credits and
+// needs the slot more: it has at least threshold waiting tasks while entry has
+// none, or it holds less than its even share while entry holds that or more.
+func (l *Lender) chooseBorrower(entry string) string {
+	current := l.ensureLoan(entry)
+	share := l.evenShare()
+	chosen, leastHeld := entry, l.slots
 	for _, id := range l.order {
 		ln := l.loans[id]
 		if id == entry || ln.outstanding() > 0 || ln.demand == 0 {
 			continue
 		}
-		idle := own.demand == 0 && ln.demand >= l.threshold
-		unfair := own.holding() >= share && ln.holding() < share
-		if (idle || unfair) && ln.holding() < least {
-			best, least = id, ln.holding()
+		idle := current.demand == 0 && ln.demand >= l.threshold
+		unfair := current.slotsHeld() >= share && ln.slotsHeld() < share
+		if (idle || unfair) && ln.slotsHeld() < leastHeld {
+			chosen, leastHeld = id, ln.slotsHeld()
 		}
 	}
-	return best
+	return chosen
 }
 
-// share returns the even share of the slots among the entries with waiting
-// tasks.
-func (l *Lender) share() int {
+// evenShare returns each entry's share of the slots, split among the entries
+// with waiting tasks.
+func (l *Lender) evenShare() int {
 	n := 0
 	for _, ln := range l.loans {
 		if ln.demand > 0 {
@@ -253,11 +263,11 @@
 	return max(1, l.slots/max(1, n))
 }
 
-// Ask records the demand of an entry that waits for credits, and grants it
-// spare slots. It returns the entries that hold idle credits to recall, if the
-// spare slots did not suffice.
+// Ask records the demand of an entry that waits for credits, and lends it spare
+// slots. If the entry still has no credit, Ask returns the entries from which
+// unspent credits can be recalled.
 func (l *Lender) Ask(entry string, demand int) []string {
-	ln := l.loan(entry)
+	ln := l.ensureLoan(entry)
 	ln.demand = demand
 	for l.spare() > 0 && ln.outstanding() < demand {
 		ln.granted++
@@ -265,12 +275,12 @@
 	if ln.outstanding() > 0 {
 		return nil
 	}
-	return l.idle(entry)
+	return l.holdersExcept(entry)
 }
 
-// idle returns the entries, other than entry, that hold credits they have not
-// spent.
-func (l *Lender) idle(entry string) (ids []string) {
+// holdersExcept returns the entries, other than entry, that hold unspent
+// credits.
+func (l *Lender) holdersExcept(entry string) (ids []string) {
 	for _, id := range l.order {
 		if id != entry && l.loans[id].outstanding() > 0 {
 			ids = append(ids, id)
@@ -279,11 +289,11 @@
 	return ids
 }
 
-// Spread lends spare slots to entry up to its even share of all slots, if it
-// uses some or nobody does.
+// Spread lends spare slots to entry up to an even share among all entries, if
+// entry holds slots already or no task is running.
 func (l *Lender) Spread(entry string) {
-	ln := l.loan(entry)
-	if ln.holding() == 0 && l.running > 0 {
+	ln := l.ensureLoan(entry)
+	if ln.slotsHeld() == 0 && l.running > 0 {
 		return
 	}
 	share := (l.slots + len(l.loans) - 1) / len(l.loans)
@@ -292,8 +302,8 @@
 	}
 }
 
-// Return records that entry has given back a total of n credits in an epoch,
-// and its demand.
+// Return records that entry has returned a total of n credits in an epoch, and
+// its demand.
 func (l *Lender) Return(entry string, epoch, n uint64, demand int) {
 	ln := l.loans[entry]
 	if ln == nil || ln.epoch != epoch {
@@ -303,7 +313,7 @@
 	ln.returned = min(max(ln.returned, n), ln.granted-ln.spent)
 }
 
-// Forget takes back all credits of an entry that is gone or out of contact.
+// Forget revokes all credits of an entry that is gone or out of contact.
 func (l *Lender) Forget(entry string) {
 	if l.loans[entry] == nil {
 		return
