--- a/job/answer.go
+++ b/job/answer.go
@@ -12,9 +12,9 @@
 	Broken   Status = "failed"
 )
 
-// Answer is what a caller is told about a job. Results is set only when
-// Status is Complete, and then has one entry for each task, in order. States
-// is set only when the job failed.
+// Answer is the response to a caller about a job. Results is set only if Status
+// is StatusComplete, and then has one entry for each task, in order. States is
+// set only if the job failed.
 type Answer struct {
 	Key        Key               `json:"key"`
 	Submission string            `json:"submission"`
@@ -25,7 +25,7 @@
 	States     []State           `json:"states,omitempty"`
 }
 
-// For returns a copy of the answer that is addressed to submission.
+// For returns a copy of the answer for the caller of a submission.
 func (a Answer) For(submission string) Answer {
 	a.Submission = submission
 	return a
--- a/job/errors.go
+++ b/job/errors.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Code classifies a refusal. Callers decide on it, so its values are stable.
+// Code classifies a refusal. Callers branch on it, so its values are stable.
 type Code string
 
-// The refusals that a caller can meet. Each of them means that this
-// submission started nothing.
+// The codes of a refusal. Each of them means that this submission started
+// nothing.
 const (
 	Invalid        Code = "invalid"
 	UnknownService Code = "unknownService"
@@ -18,15 +18,16 @@
 	Overloaded     Code = "overloaded"
 	Stopping       Code = "stopping"
 	NotFound       Code = "notFound"
-	Unready        Code = "unready" // the entry may not run such jobs yet
-	Stale          Code = "stale"   // came too late to be admitted
+	Unready        Code = "unready" // the entry can not accept such jobs yet
+	Stale          Code = "stale"   // arrived too late to be admitted
 )
 
-// RefusedError reports a submission that was not accepted. Nothing of it ran.
+// RefusedError reports a submission that was not accepted. None of its tasks
+// ran.
 type RefusedError struct {
 	Code       Code
 	Message    string
-	RetryAfter time.Duration // zero when a retry can not help
+	RetryAfter time.Duration // zero if a retry can not help
 }
 
 // Error returns the code and the message.
@@ -34,14 +35,14 @@
 	return fmt.Sprintf("refused (%s): %s", e.Code, e.Message)
 }
 
-// ValueError reports a field whose value is outside what is allowed.
+// ValueError reports a field whose value is not allowed.
 type ValueError struct {
 	Field   string
 	Value   string
 	Allowed string
 }
 
-// Error names the field, the value and what is allowed.
+// Error names the field, its value and the allowed values.
 func (e *ValueError) Error() string {
 	return fmt.Sprintf("%s: %q is not allowed; want %s", e.Field, e.Value, e.Allowed)
 }
--- a/job/job.go
+++ b/job/job.go
@@ -1,5 +1,5 @@
-// Package job holds the vocabulary that callers and every process of
-// masticbay share: a job, its tasks, their states, and the answer.
+// Package job defines the types that callers and all processes of masticbay
+// share: a job, its tasks, their states, and the answer.
 //
 // # Model
 //
@@ -8,8 +8,8 @@
 //
 //	queued → dispatched → done | failed
 //
-// or ends as notRun, when it is proven that it never started, or as unknown,
-// when nothing can be proven. A job's answer is complete, with one result for
+// or ends as notRun, if it is proven that it never started, or as unknown, if
+// neither can be proven. A job's answer is complete, with one result for
 // each task, or failed, with states and counts and no result at all.
 //
 // # Usage
@@ -40,8 +40,8 @@
 	return name
 }
 
-// Task is one unit of work: an opaque JSON payload for a target, and the run
-// time that the caller expects, which may be far off or zero.
+// Task is one unit of work: an opaque JSON payload for a target, and its size,
+// which is the run time that the caller expects. The size may be wrong or zero.
 type Task struct {
 	Payload json.RawMessage `json:"payload"`
 	Size    time.Duration   `json:"-"`
@@ -54,12 +54,12 @@
 	Service      string
 	Idempotent   bool          // a task may start again under a later submission
 	Resubmission bool          // the caller may have submitted this key before
-	Deadline     time.Duration // from the submission on
+	Deadline     time.Duration // measured from the submission
 	Tasks        []Task
 }
 
-// Hash identifies the content of a job, so that a second submission of its key
-// can be told from another job under the same key.
+// Hash identifies the content of a job. It distinguishes a second submission of
+// the job from another job under the same key.
 func (s *Spec) Hash() uint64 {
 	d := xxhash.New()
 	for _, part := range []string{s.Team, s.Service} {
@@ -96,7 +96,7 @@
 	return s >= Done
 }
 
-// String returns the name of the state as callers see it.
+// String returns the name of the state that callers receive.
 func (s State) String() string {
 	return stateNames[s]
 }
--- a/job/validate.go
+++ b/job/validate.go
@@ -6,19 +6,20 @@
 	"time"
 )
 
-// Limits bounds what one submission may ask for.
+// Limits bounds one submission.
 type Limits struct {
-	Tasks    int           // tasks in one job
-	Payload  int           // bytes in one task's payload
-	Deadline time.Duration // longest deadline
+	Tasks    int           // maximum number of tasks in a job
+	Payload  int           // maximum bytes in a task's payload
+	Deadline time.Duration // maximum deadline
 }
 
 const maxNameLen = 200 // bytes
 
-// AllowedName says what ValidName accepts.
+// AllowedName describes the names that ValidName accepts.
 const AllowedName = "1 to 200 letters, digits or ._:-"
 
-// Validate checks the shape of the job against l. It returns a *RefusedError.
+// Validate checks the names and sizes in the job against l. Its errors are of
+// type *RefusedError.
 func (s *Spec) Validate(l Limits) error {
 	switch {
 	case !ValidName(s.Team):
@@ -64,14 +65,14 @@
 		return false
 	}
 	for _, r := range s {
-		if !nameRune(r) {
+		if !isNameRune(r) {
 			return false
 		}
 	}
 	return true
 }
 
-func nameRune(r rune) bool {
+func isNameRune(r rune) bool {
 	switch {
 	case r >= 'a' && r <= 'z', r >= 'A' && r <= 'Z', r >= '0' && r <= '9':
 		return true
