--- a/credit/lender.go
+++ b/credit/lender.go
@@ -7,9 +7,10 @@
 // and the reply, sent when the task has ended, usually grants a new one. So a
 // task costs two messages, and it is assigned to a slot only when one is free.
 //
-// A Lender moves a credit to another entry when that entry's reported demand
-// exceeds the demand of the current borrower by Threshold. A low threshold
-// favours response time, a high one saves messages.
+// A Lender moves a credit to another entry if the borrower has no waiting tasks
+// and the other entry has at least threshold, or if the other entry holds less
+// than its even share of the slots. A low threshold favours response time, a high
+// one saves messages.
 //
 // A loan is counted by totals that only grow within an epoch, so that replies may
 // arrive out of order or twice. The agent starts a new epoch for an entry after
@@ -38,7 +39,7 @@
 }
 
 // Lender shares the slots of one target among entries. The zero Lender has no
-// slots and moves a credit on any difference in demand.
+// slots and a threshold of zero.
 type Lender struct {
 	threshold int
 	slots     int
@@ -67,8 +68,8 @@
 	return int(l.granted - l.spent - l.returned)
 }
 
-// NewLender returns a Lender that moves credits at a difference in demand of
-// threshold tasks. Its epochs start at 1, so an incarnation must not replace
+// NewLender returns a Lender that moves credits at a demand of threshold tasks,
+// or of one task if threshold is lower. Its epochs start at 1, so an incarnation must not replace
 // its Lender by a new one.
 func NewLender(threshold int) *Lender {
 	return &Lender{threshold: max(1, threshold), loans: make(map[string]*loan)}
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -40,7 +40,7 @@
 	"masticbay/job"
 )
 
-// Config holds the times that bound what a Gate remembers and accepts.
+// Config holds the time limits on what a Gate records and accepts.
 type Config struct {
 	Window    time.Duration // how long records, closed attempts and claims are kept
 	StampLife time.Duration // maximum age of a dispatch's stamp
@@ -58,7 +58,7 @@
 	jobs         map[job.Key]*jobRecord
 	closed       map[attempt]struct{}
 	expiries     []expiry
-	adoptedUntil map[string]time.Time // end of this agent's duty to answer for a predecessor, by incarnation
+	adoptedUntil map[string]time.Time // until when this agent answers for a predecessor, by its incarnation
 }
 
 // attempt identifies one dispatch by its entry and the entry's attempt number.
--- a/gate/handover.go
+++ b/gate/handover.go
@@ -9,7 +9,7 @@
 )
 
 // Handover is the record that a leaving agent sends to its heir, its successor
-// of the same service, which answers claims and seals meant for it.
+// of the same service. The heir answers claims and seals for the leaving agent.
 type Handover struct {
 	Agents   []string // the incarnations that the receiver answers for
 	Registry uint64
--- a/gate/message.go
+++ b/gate/message.go
@@ -44,7 +44,7 @@
 	Registry    uint64 // registry revision at the job's admission or claim
 	Idempotent  bool
 	Stamp       time.Duration // latest stamp of the agent that the entry has received
-	StartWithin time.Duration // limit for the start, measured from Stamp
+	StartWithin time.Duration // the task must start within this time after Stamp
 	Service     string
 	Team        string
 	Payload     []byte
