--- a/credit/lender.go
+++ b/credit/lender.go
@@ -39,7 +39,7 @@
 }
 
 // Lender shares the slots of one target among entries. The zero Lender has no
-// slots and a threshold of zero.
+// slots and moves a credit on any demand.
 type Lender struct {
 	threshold int
 	slots     int
@@ -69,8 +69,8 @@
 }
 
 // NewLender returns a Lender that moves credits at a demand of threshold tasks,
-// or of one task if threshold is lower. Its epochs start at 1, so an incarnation must not replace
-// its Lender by a new one.
+// or of one task if threshold is lower. Its epochs start at 1, so an incarnation
+// must not replace its Lender by a new one.
 func NewLender(threshold int) *Lender {
 	return &Lender{threshold: max(1, threshold), loans: make(map[string]*loan)}
 }
--- a/job/validate.go
+++ b/job/validate.go
@@ -18,7 +18,7 @@
 // AllowedName describes the names that ValidName accepts.
 const AllowedName = "1 to 200 letters, digits or ._:-"
 
-// Validate checks the names and sizes in the job against l. Its errors are of
+// Validate checks that the job is well-formed and within l. Its errors are of
 // type *RefusedError.
 func (s *Spec) Validate(l Limits) error {
 	switch {
