--- a/dispatch/agents.go
+++ b/dispatch/agents.go
@@ -16,7 +16,8 @@
 	DataCentre string
 }
 
-// AgentUp tells that an agent can be reached.
+// AgentUp takes the first status of an agent, or that of one that can be
+// reached again.
 func (c *Core) AgentUp(now time.Time, info AgentInfo, st *wire.Status) {
 	a := c.agents[info.ID]
 	s := c.service(info.Service)
@@ -25,19 +26,20 @@
 		c.agents[info.ID] = a
 		s.agents = append(s.agents, a)
 	}
-	c.status(now, st)
+	c.applyStatus(now, st)
 	c.schedule(now, s)
 }
 
-// AgentDown tells that an agent can not be reached now.
+// AgentDown marks an agent as unreachable until its next status.
 func (c *Core) AgentDown(id string) {
 	if a := c.agents[id]; a != nil {
 		a.reachable = false
 	}
 }
 
-// AgentGone tells that an incarnation of an agent has ended for good. Tasks
-// that are with it keep being asked for at its successor, if it has one.
+// AgentGone removes an incarnation of an agent that has ended for good. If it
+// handed its records over, the attempts at it are sealed at its successor;
+// otherwise its tasks are unknown.
 func (c *Core) AgentGone(now time.Time, id string, handedOver bool) {
 	a := c.agents[id]
 	if a == nil {
@@ -53,70 +55,76 @@
 	}
 	delete(s.lastSuccess, id)
 	if !handedOver {
-		c.loseTasks(now, id)
+		c.abandonTasksAt(now, id)
 	}
 }
 
-// loseTasks ends the tasks of an agent that can never be asked again.
-func (c *Core) loseTasks(now time.Time, id string) {
-	for _, place := range c.placesAt(id) {
-		j := c.jobs[place.key]
+// abandonTasksAt gives the tasks of an agent that can never be asked again the
+// state unknown.
+func (c *Core) abandonTasksAt(now time.Time, id string) {
+	for _, ref := range c.taskRefsAt(id) {
+		j := c.jobs[ref.key]
 		if j == nil || j.answer != nil {
 			continue
 		}
-		j.because("an agent was lost")
-		c.finishTask(now, j, place.index, job.Unknown)
+		j.setReason("an agent was lost")
+		c.finishTask(now, j, ref.index, job.Unknown)
 	}
 }
 
-func (c *Core) placesAt(agent string) (places []taskPlace) {
-	for _, n := range slices.Sorted(maps.Keys(c.attempts)) {
-		place := c.attempts[n]
-		if c.jobs[place.key].tasks[place.index].agent == agent {
-			places = append(places, place)
+// taskRefsAt returns the tasks with an open attempt at an agent, in the order of
+// their attempts.
+func (c *Core) taskRefsAt(agent string) (refs []taskRef) {
+	for _, attempt := range slices.Sorted(maps.Keys(c.attempts)) {
+		ref := c.attempts[attempt]
+		if c.jobs[ref.key].tasks[ref.index].agent == agent {
+			refs = append(refs, ref)
 		}
 	}
-	return places
+	return refs
 }
 
-// Status takes the state that an agent's message carried.
+// Status applies the status in an agent's message and dispatches what it allows.
 func (c *Core) Status(now time.Time, st *wire.Status) {
-	c.status(now, st)
+	c.applyStatus(now, st)
 	if a := c.agents[st.Agent]; a != nil {
 		c.schedule(now, c.service(a.service))
 	}
 }
 
-func (c *Core) status(now time.Time, st *wire.Status) {
+// applyStatus takes the credits of a status, and the rest of it unless a newer
+// one has arrived.
+func (c *Core) applyStatus(now time.Time, st *wire.Status) {
 	a := c.agents[st.Agent]
 	if a == nil {
 		return
 	}
-	a.purse.Apply(st.Offer)
+	a.balance.Apply(st.Offer)
 	a.reachable = true
 	if st.Stamp < a.status.Stamp {
 		return
 	}
 	a.status = *st
-	a.stampAt = now
+	a.stampReceived = now
 }
 
-// Asked takes the reply to a request for credits, or its failure.
+// Asked takes the reply to a request for credits; st is nil if the call failed.
 func (c *Core) Asked(now time.Time, agent string, st *wire.Status) {
 	a := c.agents[agent]
 	if a == nil {
 		return
 	}
-	a.asking = false
+	a.askPending = false
 	if st == nil {
 		return
 	}
-	c.status(now, st)
+	c.applyStatus(now, st)
 	c.schedule(now, c.service(a.service))
 }
 
-// Recall gives idle credits of an agent back, none if tasks wait. It also
-// returns the number of waiting tasks.
+// Recall returns idle credits to an agent that recalls them, or none if tasks
+// wait. It gives the epoch of the loan, the total returned in it, and the number
+// of waiting tasks.
 func (c *Core) Recall(agent string) (epoch, total uint64, demand int) {
 	a := c.agents[agent]
 	if a == nil {
@@ -125,33 +133,34 @@
 	demand = c.service(a.service).queue.Len()
 	n := 0
 	if demand == 0 {
-		n = c.giveBack(a.purse.Available())
+		n = c.creditsToReturn(a.balance.Available())
 	}
-	epoch, total = a.purse.GiveBack(n)
+	epoch, total = a.balance.GiveBack(n)
 	return epoch, total, demand
 }
 
-// giveBack returns how many of the idle credits go back on a recall: with many
-// small jobs half of them, since more jobs are about to come.
-func (c *Core) giveBack(idle int) int {
+// creditsToReturn returns how many of the idle credits to return on a recall:
+// all, or only half if AskGain is set. It is set for many small jobs, so that
+// more of them are about to come.
+func (c *Core) creditsToReturn(idle int) int {
 	if c.cfg.AskGain > 0 {
 		return (idle + 1) / 2
 	}
 	return idle
 }
 
-// SetRegistry replaces the registry by a newer one.
+// SetRegistry replaces the registry if r is newer.
 func (c *Core) SetRegistry(r Registry) {
 	if r.Revision > c.registry.Revision {
 		c.registry = r
 	}
 }
 
-// SetIsolated tells whether some listed entry is out of contact, so that claims
-// have to ask the agents.
+// SetIsolated sets whether some listed entry is out of contact. Claims then ask
+// the agents as well.
 func (c *Core) SetIsolated(on bool) { c.isolated = on }
 
-// SetLimits replaces the limits and starts what they newly allow.
+// SetLimits replaces the limits and dispatches what they newly allow.
 func (c *Core) SetLimits(now time.Time, l Limits) {
 	c.limits = l
 	for _, name := range slices.Sorted(maps.Keys(c.services)) {
@@ -161,7 +170,7 @@
 
 // Want returns the number of tasks of a team that run here or wait.
 func (c *Core) Want(team string) int {
-	n := c.running(team)
+	n := c.runningOf(team)
 	for _, s := range c.services {
 		n += s.queue.WaitingOf(team)
 	}
@@ -187,7 +196,7 @@
 			Status:      a.status,
 			Reachable:   a.reachable,
 			Quarantined: a.health.Quarantined(),
-			Credits:     a.purse.Available(),
+			Credits:     a.balance.Available(),
 			InFlight:    a.inFlight,
 			Mean:        a.health.Mean(),
 		})
@@ -207,12 +216,12 @@
 // Queues returns the state of the queues of all services.
 func (c *Core) Queues() (states []QueueState) {
 	for _, s := range c.services {
-		states = append(states, QueueState{s.name, s.queue.Len(), s.queue.Jobs(), s.running, s.mean.Mean()})
+		states = append(states, QueueState{s.name, s.queue.Len(), s.queue.Jobs(), s.running, s.runTimes.Mean()})
 	}
 	return states
 }
 
-// Open returns the number of jobs that have no answer.
+// Open returns the number of jobs without an answer.
 func (c *Core) Open() (n int) {
 	for _, j := range c.jobs {
 		if j.answer == nil {
--- a/dispatch/cancel.go
+++ b/dispatch/cancel.go
@@ -6,15 +6,15 @@
 	"masticbay/job"
 )
 
-// The reasons for which a job ends early.
+// Reasons why a job ends early.
 const (
 	reasonCancelled = "cancelled"
 	reasonLate      = "the deadline can not be met"
 )
 
-// Cancel withdraws a job: tasks that wait become notRun at once, dispatched
-// ones are sealed, started ones run to their end. It reports false if the job
-// is not known.
+// Cancel cancels a job. Waiting tasks become notRun, at once if the job is
+// idempotent and after a claim otherwise. Dispatched tasks are sealed, and those
+// that have started run to their end. Cancel reports whether the job is known.
 func (c *Core) Cancel(now time.Time, k job.Key) bool {
 	j := c.jobs[k]
 	if j == nil {
@@ -24,12 +24,13 @@
 		return true
 	}
 	j.cancelled = true
-	j.because(reasonCancelled)
+	j.setReason(reasonCancelled)
 	c.sealDispatched(j)
-	c.dropQueued(now, j, reasonCancelled)
+	c.stopQueued(now, j, reasonCancelled)
 	return true
 }
 
+// sealDispatched seals the dispatched tasks of j, except adopted ones.
 func (c *Core) sealDispatched(j *activeJob) {
 	for i := range j.tasks {
 		if j.tasks[i].state == job.Dispatched && !j.tasks[i].adopted {
@@ -38,18 +39,18 @@
 	}
 }
 
-// dropQueued ends the waiting tasks of a job that is over. Those of a job that
-// is not idempotent are notRun only if a claim shows, as the last thing before
-// the answer, that no other entry started them meanwhile.
-func (c *Core) dropQueued(now time.Time, j *activeJob, reason string) {
+// stopQueued ends the waiting tasks of a job that may start no more of them.
+// Tasks of a job that is not idempotent are notRun only after a claim, made when
+// no task is dispatched any more, has shown that no other entry started them.
+func (c *Core) stopQueued(now time.Time, j *activeJob, reason string) {
 	if j.claim != nil {
-		return // decided when the claim is
+		return // the end of the claim decides
 	}
 	if j.spec.Idempotent {
 		c.endQueued(now, j, job.NotRun, reason)
 		return
 	}
-	j.because(reason)
+	j.setReason(reason)
 	c.service(j.spec.Service).queue.Remove(j.spec.Key)
 	if j.hasQueued() && !j.hasDispatched() {
 		c.startClaim(now, j, proofClaim)
@@ -69,25 +70,26 @@
 	return j.nextQueued() < len(j.tasks)
 }
 
-// over returns why no task of j may start any more, or "".
-func (j *activeJob) over(now time.Time) string {
+// stopReason returns the reason why no further task of j may start, or "".
+func (j *activeJob) stopReason(now time.Time) string {
 	switch {
 	case j.cancelled:
 		return reasonCancelled
 	case !now.Before(j.deadline):
 		return "the deadline has passed"
-	case j.late:
+	case j.missesDeadline:
 		return reasonLate
 	}
 	return ""
 }
 
-// endQueued gives every waiting task of j the final state s.
+// endQueued removes j from its queue and gives every waiting task the final
+// state s.
 func (c *Core) endQueued(now time.Time, j *activeJob, s job.State, reason string) {
 	c.service(j.spec.Service).queue.Remove(j.spec.Key)
 	for i := 0; i < len(j.tasks); i++ {
 		if j.tasks[i].state == job.Queued {
-			j.because(reason)
+			j.setReason(reason)
 			c.finishTask(now, j, i, s)
 		}
 	}
--- a/dispatch/claim.go
+++ b/dispatch/claim.go
@@ -9,87 +9,91 @@
 	"masticbay/job"
 )
 
-// claiming is the question what was started of a job. It counts when every listed
-// entry has answered, or when every registered agent has.
-type claiming struct {
-	ballot   gate.Ballot
-	begun    time.Time
-	registry uint64
-	lost     bool                // the entries alone prove nothing
-	asked    bool                // whether the agents were asked
-	agents   map[string]struct{} // that did not answer yet
-	entries  map[string]struct{} // that did not answer yet
-	limit    time.Time
-	need     claimNeed
+// pendingClaim is a claim that waits for answers: it asks which tasks of a job
+// were started. It completes when every listed entry has answered, or when every
+// registered agent has.
+type pendingClaim struct {
+	ballot         gate.Ballot
+	startedAt      time.Time
+	registry       uint64
+	hasLostEntries bool // the answers of the entries do not suffice
+	agentsAsked    bool
+	awaitedAgents  map[string]struct{} // agents without an answer so far
+	awaitedEntries map[string]struct{} // entries without an answer so far
+	expiresAt      time.Time
+	purpose        claimPurpose
 }
 
-// claimNeed tells whether a job may run without its claim.
-type claimNeed uint8
+// claimPurpose says why a job is claimed, and so whether it may run without the
+// claim.
+type claimPurpose uint8
 
 const (
-	requiredClaim claimNeed = iota // another entry may have run the job
-	optionalClaim                  // only makes more agents eligible
-	proofClaim                     // proves that waiting tasks did not run elsewhere
+	requiredClaim claimPurpose = iota // another entry may have run the job
+	optionalClaim                     // makes more agents eligible, but is not needed
+	proofClaim                        // proves that waiting tasks did not run elsewhere
 )
 
-// claimRetry is the pause before agents that did not answer are asked again.
-const claimRetry = 200 * time.Millisecond
+// claimRetryInterval is the interval at which members that have not answered are
+// asked again.
+const claimRetryInterval = 200 * time.Millisecond
 
-// startClaim begins a claim of j over the registry that the Core holds. Tasks
-// of j that wait are withheld until the claim is decided.
-func (c *Core) startClaim(now time.Time, j *activeJob, need claimNeed) {
+// startClaim begins a claim of j over the registry that the Core holds. It takes
+// the waiting tasks of j out of the queue until the claim has ended.
+func (c *Core) startClaim(now time.Time, j *activeJob, purpose claimPurpose) {
 	c.counters.Claims++
-	c.ballot++
+	c.lastBallot++
 	limit := c.cfg.ClaimLimit
 	if j.spec.Idempotent {
 		limit = c.cfg.ShortClaim
 	}
-	cl := &claiming{
-		ballot:   gate.Ballot{N: c.ballot, Entry: c.id},
-		begun:    now,
-		registry: c.registry.Revision,
-		lost:     c.registry.Lost,
-		agents:   make(map[string]struct{}),
-		entries:  make(map[string]struct{}),
-		limit:    now.Add(limit),
-		need:     need,
+	cl := &pendingClaim{
+		ballot:         gate.Ballot{N: c.lastBallot, Entry: c.id},
+		startedAt:      now,
+		registry:       c.registry.Revision,
+		hasLostEntries: c.registry.HasLostEntries,
+		awaitedAgents:  make(map[string]struct{}),
+		awaitedEntries: make(map[string]struct{}),
+		expiresAt:      now.Add(limit),
+		purpose:        purpose,
 	}
 	if j.claim != nil {
-		cl.limit = j.claim.limit
-		cl.need = j.claim.need
+		cl.expiresAt = j.claim.expiresAt
+		cl.purpose = j.claim.purpose
 	}
 	j.claim = cl
 	c.service(j.spec.Service).queue.Remove(j.spec.Key)
 	for _, id := range c.registry.Entries {
-		cl.entries[id] = struct{}{}
+		cl.awaitedEntries[id] = struct{}{}
 		c.sendInquiry(id, cl, j.spec.Key)
 	}
 	if c.isolated {
 		c.askAgents(j)
 	}
-	c.timers.add(now.Add(claimRetry), timer{kind: claimTimer, key: j.spec.Key, n: cl.ballot.N})
+	c.timers.add(now.Add(claimRetryInterval), timer{kind: claimTimer, key: j.spec.Key, n: cl.ballot.N})
 	c.checkClaim(now, j)
 }
 
-// askAgents puts the claim of j to the registered agents. A registry without
-// agents proves nothing.
+// askAgents sends the claim of j to the registered agents. A registry without
+// agents of the service proves nothing, so they then do not count as asked.
 func (c *Core) askAgents(j *activeJob) {
 	cl := j.claim
-	cl.asked = len(c.registry.Agents[j.spec.Service]) > 0
+	cl.agentsAsked = len(c.registry.Agents[j.spec.Service]) > 0
 	for _, id := range c.registry.Agents[j.spec.Service] {
-		cl.agents[id] = struct{}{}
+		cl.awaitedAgents[id] = struct{}{}
 		c.sendClaim(id, cl, j.spec.Key)
 	}
 }
 
-func (c *Core) sendClaim(agent string, cl *claiming, k job.Key) {
-	i, ok := c.claimOut[agent]
+// sendClaim adds a job to the claim that is about to be sent to an agent.
+func (c *Core) sendClaim(agent string, cl *pendingClaim, k job.Key) {
+	i, ok := c.claimIndex[agent]
 	if !ok {
-		i = len(c.out.Claims)
-		c.claimOut[agent] = i
-		c.out.Claims = append(c.out.Claims, gate.Claim{Entry: c.id, Agent: agent, Registry: cl.registry})
+		i = len(c.actions.Claims)
+		c.claimIndex[agent] = i
+		c.actions.Claims = append(c.actions.Claims, gate.Claim{Entry: c.id, Agent: agent, Registry: cl.registry})
 	}
-	out := &c.out.Claims[i]
+	out := &c.actions.Claims[i]
 	out.Registry = min(out.Registry, cl.registry)
 	out.Jobs = append(out.Jobs, gate.ClaimItem{Job: k, Ballot: cl.ballot})
 }
@@ -97,43 +101,43 @@
 // Granted takes an agent's answers to a claim.
 func (c *Core) Granted(now time.Time, agent string, grants []gate.Grant) {
 	for i := range grants {
-		c.granted(now, agent, &grants[i])
+		c.applyGrant(now, agent, &grants[i])
 	}
 }
 
-func (c *Core) granted(now time.Time, agent string, g *gate.Grant) {
+func (c *Core) applyGrant(now time.Time, agent string, g *gate.Grant) {
 	j := c.jobs[g.Job]
 	if j == nil || j.claim == nil || j.claim.ballot != g.Ballot {
 		return
 	}
 	switch {
 	case g.OK:
-		delete(j.claim.agents, agent)
-		c.adopt(now, j, agent, g.Reports)
+		delete(j.claim.awaitedAgents, agent)
+		c.adoptReports(now, j, agent, g.Reports)
 		c.checkClaim(now, j)
 	case !g.Holder.Zero():
-		c.ballot = max(c.ballot, g.Holder.N)
-		c.yield(now, j, g.Holder)
+		c.lastBallot = max(c.lastBallot, g.Holder.N)
+		c.yieldJob(now, j, g.Holder)
 	case g.Registry > j.claim.registry:
-		c.out.WantRegistry = max(c.out.WantRegistry, g.Registry)
+		c.actions.WantRegistry = max(c.actions.WantRegistry, g.Registry)
 	}
 }
 
-// yield leaves a job to the entry whose claim is higher. The callers of the
-// job are redirected there; if that entry can not be reached, the caller of
-// the Core submits the job again with a claim.
-func (c *Core) yield(now time.Time, j *activeJob, holder gate.Ballot) {
+// yieldJob gives a job up to the entry whose claim has a higher ballot and
+// redirects the callers of the job there. If that entry cannot be reached, the
+// caller of the Core submits the job again with a claim.
+func (c *Core) yieldJob(now time.Time, j *activeJob, holder gate.Ballot) {
 	if j.answer != nil {
 		return
 	}
-	c.withdraw(now, j)
-	c.out.Redirects = append(c.out.Redirects, Redirect{Key: j.spec.Key, Holder: holder.Entry})
+	c.removeJob(now, j)
+	c.actions.Redirects = append(c.actions.Redirects, Redirect{Key: j.spec.Key, Holder: holder.Entry})
 }
 
-// withdraw forgets a job that another entry answers for, but for what it
-// dispatched of it.
-func (c *Core) withdraw(now time.Time, j *activeJob) {
-	c.keepTraces(now, j)
+// removeJob deletes a job for which another entry answers. It keeps the traces
+// of what was dispatched.
+func (c *Core) removeJob(now time.Time, j *activeJob) {
+	c.recordTraces(now, j)
 	s := c.service(j.spec.Service)
 	s.queue.Remove(j.spec.Key)
 	for i := range j.tasks {
@@ -144,8 +148,9 @@
 	delete(c.jobs, j.spec.Key)
 }
 
-// adopt takes over what an agent started of j under another claim.
-func (c *Core) adopt(now time.Time, j *activeJob, agent string, reports []gate.Report) {
+// adoptReports takes over the tasks of j that an agent started under another
+// claim.
+func (c *Core) adoptReports(now time.Time, j *activeJob, agent string, reports []gate.Report) {
 	for i := range reports {
 		rep := &reports[i]
 		if rep.Task.Rerun != "" || rep.Task.Index >= len(j.tasks) {
@@ -154,30 +159,32 @@
 		if j.tasks[rep.Task.Index].state != job.Queued {
 			continue
 		}
-		c.adoptTask(j, rep.Task.Index, agent).sent = now
-		c.record(now, j, rep.Task.Index, rep)
+		c.adoptTask(j, rep.Task.Index, agent).sentAt = now
+		c.applyReport(now, j, rep.Task.Index, rep)
 	}
 }
 
-// adoptTask notes that a task was dispatched to an agent outside of this job.
+// adoptTask marks a task as dispatched to an agent under an earlier claim or
+// submission, and gives it an attempt of this entry, by which it is tracked.
 func (c *Core) adoptTask(j *activeJob, i int, agent string) *task {
 	t := &j.tasks[i]
 	t.state = job.Dispatched
 	t.agent = agent
 	t.adopted = true
-	c.attempt++
-	t.attempt = c.attempt
-	c.attempts[t.attempt] = taskPlace{j.spec.Key, i}
+	c.lastAttempt++
+	t.attempt = c.lastAttempt
+	c.attempts[t.attempt] = taskRef{j.spec.Key, i}
 	return t
 }
 
-// checkClaim ends the claim of j when all entries or all agents have answered.
+// checkClaim completes the claim of j when all entries or all agents have
+// answered.
 func (c *Core) checkClaim(now time.Time, j *activeJob) {
-	if j.claim == nil || !(c.entriesDone(j.claim) || c.agentsDone(j.claim)) {
+	if j.claim == nil || !(c.allEntriesAnswered(j.claim) || c.allAgentsGranted(j.claim)) {
 		return
 	}
-	if !c.agentsDone(j.claim) {
-		c.recall(now, j)
+	if !c.allAgentsGranted(j.claim) {
+		c.mergeTraces(now, j)
 	}
 	j.ballot = j.claim.ballot
 	j.registry = j.claim.registry
@@ -186,10 +193,10 @@
 	if j.answer != nil {
 		return
 	}
-	switch reason := j.over(now); {
+	switch reason := j.stopReason(now); {
 	case reason != "" && j.hasDispatched():
-		j.because(reason)
-		return // proven again when those tasks have ended
+		j.setReason(reason)
+		return // claimed again when those tasks have ended
 	case reason != "":
 		c.endQueued(now, j, job.NotRun, reason)
 		return
@@ -198,21 +205,23 @@
 	c.schedule(now, c.service(j.spec.Service))
 }
 
-// entriesDone reports whether every entry has answered that may have run the
-// job. A registry that is older than that of another claim may lack an entry.
-func (c *Core) entriesDone(cl *claiming) bool {
-	return !cl.lost && cl.registry > 0 && cl.registry >= c.seen && len(cl.entries) == 0
+// allEntriesAnswered reports whether every entry that may have run the job has
+// answered. A registry that is older than that of another claim may lack an
+// entry.
+func (c *Core) allEntriesAnswered(cl *pendingClaim) bool {
+	return !cl.hasLostEntries && cl.registry > 0 && cl.registry >= c.highestRegistry && len(cl.awaitedEntries) == 0
 }
 
-// agentsDone reports whether every registered agent has granted the claim. A
+// allAgentsGranted reports whether every registered agent has granted the claim. A
 // registry that is older than that of another claim may lack an agent.
-func (c *Core) agentsDone(cl *claiming) bool {
-	return cl.asked && cl.registry >= c.seen && len(cl.agents) == 0
+func (c *Core) allAgentsGranted(cl *pendingClaim) bool {
+	return cl.agentsAsked && cl.registry >= c.highestRegistry && len(cl.awaitedAgents) == 0
 }
 
-// claimDue asks again, or ends a claim that ran out of time: what was not
-// found can not be proven, unless the job is idempotent and may run again.
-func (c *Core) claimDue(now time.Time, k job.Key, n uint64) {
+// onClaim asks again, or ends a claim whose time has run out. The waiting tasks
+// are then unknown, unless the claim was optional or the job is idempotent and
+// may run again.
+func (c *Core) onClaim(now time.Time, k job.Key, n uint64) {
 	j := c.jobs[k]
 	if j == nil || j.claim == nil || j.claim.ballot.N != n {
 		return
@@ -221,61 +230,61 @@
 		j.claim = nil
 		return
 	}
-	if now.Before(j.claim.limit) {
+	if now.Before(j.claim.expiresAt) {
 		c.retryClaim(now, j)
 		return
 	}
 	c.counters.ClaimsIncomplete++
 	cl := j.claim
 	j.claim = nil
-	if cl.need == optionalClaim && j.over(now) == "" {
+	if cl.purpose == optionalClaim && j.stopReason(now) == "" {
 		c.proceedUnclaimed(now, j, cl)
 		return
 	}
-	if j.spec.Idempotent && j.over(now) == "" {
-		c.rerun(now, j, cl)
+	if j.spec.Idempotent && j.stopReason(now) == "" {
+		c.rerunQueued(now, j, cl)
 		return
 	}
 	c.endQueued(now, j, job.Unknown, "neither all entries nor all agents that may have started tasks did answer")
 }
 
 func (c *Core) retryClaim(now time.Time, j *activeJob) {
-	if c.seen > c.registry.Revision {
-		c.out.WantRegistry = max(c.out.WantRegistry, c.seen)
+	if c.highestRegistry > c.registry.Revision {
+		c.actions.WantRegistry = max(c.actions.WantRegistry, c.highestRegistry)
 	}
 	if c.registry.Revision > j.claim.registry {
-		c.startClaim(now, j, j.claim.need)
+		c.startClaim(now, j, j.claim.purpose)
 		return
 	}
-	for _, id := range slices.Sorted(maps.Keys(j.claim.entries)) {
+	for _, id := range slices.Sorted(maps.Keys(j.claim.awaitedEntries)) {
 		c.sendInquiry(id, j.claim, j.spec.Key)
 	}
-	if !j.claim.asked {
+	if !j.claim.agentsAsked {
 		c.askAgents(j)
 	} else {
-		for _, id := range slices.Sorted(maps.Keys(j.claim.agents)) {
+		for _, id := range slices.Sorted(maps.Keys(j.claim.awaitedAgents)) {
 			c.sendClaim(id, j.claim, j.spec.Key)
 		}
 	}
-	c.timers.add(now.Add(claimRetry), timer{kind: claimTimer, key: j.spec.Key, n: j.claim.ballot.N})
+	c.timers.add(now.Add(claimRetryInterval), timer{kind: claimTimer, key: j.spec.Key, n: j.claim.ballot.N})
 }
 
-// upgradePause is how long agents that need a claim are left aside after one
-// has failed.
-const upgradePause = 500 * time.Millisecond
+// optionalClaimInterval is how long agents that need a claim get no task of a
+// job after an optional claim has failed.
+const optionalClaimInterval = 500 * time.Millisecond
 
-// proceedUnclaimed goes on without a claim that was not needed. The agents
-// that granted it obey its ballot, so dispatches carry it.
-func (c *Core) proceedUnclaimed(now time.Time, j *activeJob, cl *claiming) {
-	j.upgradeAt = now.Add(upgradePause)
+// proceedUnclaimed queues the tasks of j after an optional claim has failed. The
+// agents that granted it obey no lower ballot, so dispatches carry its ballot.
+func (c *Core) proceedUnclaimed(now time.Time, j *activeJob, cl *pendingClaim) {
+	j.optionalClaimAt = now.Add(optionalClaimInterval)
 	j.ballot = cl.ballot
 	c.enqueue(j)
 	c.schedule(now, c.service(j.spec.Service))
 }
 
-// rerun queues the tasks of an idempotent job, of which nothing is proven,
-// under names of this submission.
-func (c *Core) rerun(now time.Time, j *activeJob, cl *claiming) {
+// rerunQueued queues the tasks of an idempotent job after a claim has failed.
+// They may run a second time, so they get names of this submission.
+func (c *Core) rerunQueued(now time.Time, j *activeJob, cl *pendingClaim) {
 	j.ballot = cl.ballot
 	for i := range j.tasks {
 		if j.tasks[i].state == job.Queued {
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -2,17 +2,21 @@
 //
 // # Model
 //
-// A Core holds the jobs of one entry. Callers of the Core turn what happens
-// (a submission, a reply of an agent, a lost connection, the passing of time)
-// into method calls, each with the current time. The Core answers with
-// Actions: dispatches, seals, claims and requests for credits to send, and
-// answers to give. It does no I/O, reads no clock and draws no random numbers,
-// so the same code runs in production, in virtual time and in property tests.
+// A Core holds the jobs of one entry. The entry turns each event (a
+// submission, a reply of an agent, a lost connection, the passing of time)
+// into a method call with the current time. The Core returns Actions:
+// dispatches, seals, claims and requests for credits to send, and answers to
+// give. It does no I/O, reads no clock and draws no random numbers, so the same
+// code runs in production, in virtual time and in property tests.
 //
-// A task is with one agent at a time. When the outcome of a dispatch is not
-// known, the Core seals the attempt at that agent and waits; only a proof that
-// the attempt did not start frees the task. Without a proof within
-// Config.UnclearLimit the task is unknown and its job fails.
+// A task is at one agent at a time. While the outcome of a dispatch is unknown
+// ("unclear"), the Core seals the attempt at that agent and waits; only a proof
+// that the attempt did not start lets the task be dispatched again. Without a
+// proof within Config.UnclearLimit the task is unknown and its job fails.
+//
+// A seal asks an agent for the state of an attempt and forbids it to start
+// afterwards. A claim is a round of promises, as in Paxos: the entries, or the
+// agents, that grant a ballot obey no lower one for that job (package claim).
 //
 // A Core is not safe for concurrent use.
 //
@@ -38,60 +42,62 @@
 
 // Config holds the times and sizes that bound a Core.
 type Config struct {
-	Retention    time.Duration // how long claims may ask what was dispatched
+	Retention    time.Duration // how long records of dispatches are kept for claims
 	Window       time.Duration // how long after its deadline a key may be resubmitted
 	UnclearLimit time.Duration // longest wait for a proof about a dispatch
 	ClaimLimit   time.Duration // longest claim of a non-idempotent job
 	ShortClaim   time.Duration // longest claim of an idempotent job
-	SealRetry    time.Duration // first pause between seals of an attempt
+	SealRetry    time.Duration // first interval between seals of an attempt
 	StampLife    time.Duration // age at which agents refuse a stamp
-	AskThreshold int           // waiting tasks from which credits are asked for
-	AskGain      float64       // share of the run time below which a faster agent is asked; 0 for never
-	FarPenalty   time.Duration // what another data centre costs a task
-	AskPause     time.Duration // pause between requests for credits
-	MaxWaiting   int           // waiting tasks of one service
+	AskThreshold int           // number of waiting tasks from which the Core asks for credits
+	AskGain      float64       // ask a faster agent if its cost is below this share of the best cost; 0 for never
+	FarPenalty   time.Duration // added to the cost of an agent in another data centre
+	AskPause     time.Duration // interval between requests for credits
+	MaxWaiting   int           // most waiting tasks of one service
 	DataCentre   string
 }
 
-// Core is the decision state of one entry's incarnation.
+// Core is the decision state of one incarnation of an entry.
 type Core struct {
-	id       string
-	cfg      Config
-	jobs     map[job.Key]*activeJob
-	services map[string]*service
-	agents   map[string]*agent
-	attempts map[uint64]taskPlace // dispatches without a known outcome
-	attempt  uint64
-	ballot   uint64
-	registry Registry
-	seen     uint64 // highest registry revision of any claim
-	isolated bool   // some listed entry is out of contact
-	limits   Limits
-	teams    map[string]*usage
-	timers   timers
-	out      Actions
-	memories map[job.Key]*memory
-	claimOut map[string]int // by agent: the index of its claim in out.Claims
-	sealOut  map[string]int // by agent: the index of its seal in out.Seals
-	counters Counters
+	id              string
+	cfg             Config
+	jobs            map[job.Key]*activeJob
+	services        map[string]*service
+	agents          map[string]*agent
+	attempts        map[uint64]taskRef // dispatches without a known outcome, by number
+	lastAttempt     uint64
+	lastBallot      uint64
+	registry        Registry
+	highestRegistry uint64 // highest registry revision of any claim
+	isolated        bool   // some listed entry is out of contact
+	limits          Limits
+	teams           map[string]*usage
+	timers          timers
+	actions         Actions
+	memories        map[job.Key]*jobMemory
+	claimIndex      map[string]int // by agent: the index of its claim in actions.Claims
+	sealIndex       map[string]int // by agent and entry: the index of its seal in actions.Seals
+	counters        Counters
 
-	inquiryOut map[string]int // by entry: the index of its inquiry in out.Inquiries
+	inquiryIndex map[string]int // by entry: the index of its inquiry in actions.Inquiries
 }
 
-// Registry is the listed members as of one revision: the entries other than
-// this one, and the agents by service. Claims ask all of either, but only the
-// agents if an entry is lost; agents that are suspended get no new work.
+// Registry lists the members as of one revision: the entries other than this
+// one, and the agents by service. A claim needs the answers of all entries or
+// of all agents, but only those of the agents count if an entry is lost.
+// Suspended agents get no new work.
 type Registry struct {
-	Revision  uint64
-	Entries   []string
-	Lost      bool // an entry that is no longer listed may have run jobs
-	Agents    map[string][]string
-	Suspended map[string]bool
+	Revision       uint64
+	Entries        []string
+	HasLostEntries bool // some entry that is no longer listed may have run jobs
+	Agents         map[string][]string
+	Suspended      map[string]bool
 }
 
-// NewRegistry returns what the Core of the entry self needs of a registry.
+// NewRegistry returns the part of a registry that the Core of the entry self
+// needs.
 func NewRegistry(self string, r *member.Registry) Registry {
-	out := Registry{Revision: r.Revision, Lost: len(r.Lost) > 0, Agents: make(map[string][]string), Suspended: make(map[string]bool)}
+	out := Registry{Revision: r.Revision, HasLostEntries: len(r.Lost) > 0, Agents: make(map[string][]string), Suspended: make(map[string]bool)}
 	for _, e := range r.Entries {
 		if e.ID != self {
 			out.Entries = append(out.Entries, e.ID)
@@ -106,13 +112,13 @@
 	return out
 }
 
-// Limits is what the operators' table allows this entry.
+// Limits holds the shares that the operators' table grants to this entry.
 type Limits struct {
 	Services map[string]Share
 	Teams    map[string]Share
 }
 
-// Share is what a service or a team may use at this entry.
+// Share is the capacity that a service or a team may use at this entry.
 type Share struct {
 	Weight  float64
 	Limited bool
@@ -151,13 +157,13 @@
 	Inquiry claim.Inquiry
 }
 
-// Redirect tells that another entry holds a job's claim.
+// Redirect says that another entry holds a job's claim.
 type Redirect struct {
 	Key    job.Key
 	Holder string // incarnation of that entry
 }
 
-// Actions is what the caller of a Core has to do.
+// Actions lists what the caller of a Core has to do.
 type Actions struct {
 	Runs         []Run
 	Seals        []SentSeal
@@ -171,102 +177,103 @@
 }
 
 type service struct {
-	name        string
-	queue       queue.Queue
-	agents      []*agent
-	running     int
-	mean        health.Tracker
-	lastSuccess map[string]time.Time // by agent
-	lastAsk     time.Time
-	ranked      []*agent // by speed, as of rankedAt
-	rankedAt    time.Time
+	name         string
+	queue        queue.Queue
+	agents       []*agent
+	running      int
+	runTimes     health.Tracker
+	lastSuccess  map[string]time.Time // by agent
+	lastAsk      time.Time
+	fastestFirst []*agent // agents by cost, as of rankedAt
+	rankedAt     time.Time
 }
 
 type agent struct {
-	id         string
-	service    string
-	dataCentre string
-	purse      credit.Purse
-	status     wire.Status
-	stampAt    time.Time // when status.Stamp arrived
-	reachable  bool
-	health     health.Tracker
-	inFlight   int
-	teams      map[string]int // dispatched tasks by team
-	reserved   int            // slots that the team to be served may not use
-	asking     bool
+	id            string
+	service       string
+	dataCentre    string
+	balance       credit.Purse
+	status        wire.Status
+	stampReceived time.Time // arrival of status.Stamp
+	reachable     bool
+	health        health.Tracker
+	inFlight      int
+	tasksByTeam   map[string]int // dispatched tasks by team
+	reserved      int            // slots kept free for teams other than the one being served
+	askPending    bool
 }
 
 type activeJob struct {
-	spec       job.Spec
-	hash       uint64
-	submission string
-	submitted  time.Time
-	deadline   time.Time
-	registry   uint64
-	claim      *claiming
-	ballot     gate.Ballot
-	claimed    bool      // every registered agent has granted the ballot
-	upgradeAt  time.Time // not before it is a claim tried that is not needed for safety
-	tasks      []task
-	open       int // tasks that are not final
-	next       int // no task before it is queued
-	cancelled  bool
-	late       bool // the deadline can not be met
-	reason     string
-	answer     *job.Answer
-	keepUntil  time.Time // when the answer may be forgotten
+	spec            job.Spec
+	hash            uint64
+	submission      string
+	submittedAt     time.Time
+	deadline        time.Time
+	registry        uint64
+	claim           *pendingClaim
+	ballot          gate.Ballot
+	claimed         bool      // a claim of the job has completed
+	optionalClaimAt time.Time // earliest time of the next claim that is not needed for safety
+	tasks           []task
+	openTasks       int // tasks without a final state
+	scanFrom        int // index at which nextQueued begins; no earlier task is queued
+	cancelled       bool
+	missesDeadline  bool // the job cannot meet its deadline
+	reason          string
+	answer          *job.Answer
+	expiresAt       time.Time // when the answer may be deleted
 }
 
 type task struct {
-	state   job.State
-	attempt uint64
-	agent   string
-	unclear time.Time // since when the outcome is not known; zero if it is
-	pause   time.Duration
-	epoch   uint64
-	tries   int // attempts that were refused
-	rerun   bool
-	adopted bool // started under an earlier claim or submission
-	result  []byte
-	err     string
+	state        job.State
+	attempt      uint64
+	agent        string
+	unclearSince time.Time // start of the time without a known outcome; zero if it is known
+	backoff      time.Duration
+	epoch        uint64 // of the credit that the attempt uses
+	requeues     int    // attempts that proved not to have started
+	rerun        bool   // named after this submission, since it may run again
+	adopted      bool   // started under an earlier claim or submission
+	result       []byte
+	err          string
 
-	origin        string // the entry that made the attempt, if it is another one
+	originEntry   string // the entry that made the attempt, if it is another one
 	originAttempt uint64
-	sent          time.Time // of the attempt, or earlier
-	others        []trace   // attempts that have to be asked for as well
+	sentAt        time.Time // time of the attempt, or earlier
+	otherAttempts []trace   // further attempts whose agents have to be asked
 }
 
-type taskPlace struct {
+// taskRef identifies a task of a job.
+type taskRef struct {
 	key   job.Key
 	index int
 }
 
-// New returns the Core of an entry with the incarnation id.
+// New returns the Core of the entry whose incarnation is id.
 func New(id string, cfg Config) *Core {
 	return &Core{
-		id:       id,
-		cfg:      cfg,
-		jobs:     make(map[job.Key]*activeJob),
-		services: make(map[string]*service),
-		agents:   make(map[string]*agent),
-		attempts: make(map[uint64]taskPlace),
-		teams:    make(map[string]*usage),
-		memories: make(map[job.Key]*memory),
-		claimOut: make(map[string]int),
-		sealOut:  make(map[string]int),
+		id:         id,
+		cfg:        cfg,
+		jobs:       make(map[job.Key]*activeJob),
+		services:   make(map[string]*service),
+		agents:     make(map[string]*agent),
+		attempts:   make(map[uint64]taskRef),
+		teams:      make(map[string]*usage),
+		memories:   make(map[job.Key]*jobMemory),
+		claimIndex: make(map[string]int),
+		sealIndex:  make(map[string]int),
 
-		inquiryOut: make(map[string]int),
+		inquiryIndex: make(map[string]int),
 	}
 }
 
-// Take returns the actions that are due and forgets them.
+// Take returns the pending actions and clears them.
 func (c *Core) Take() Actions {
-	clear(c.claimOut)
-	clear(c.sealOut)
-	clear(c.inquiryOut)
-	out := c.out
-	c.out = Actions{}
+	clear(c.claimIndex)
+	clear(c.sealIndex)
+	clear(c.inquiryIndex)
+	out := c.actions
+	c.actions = Actions{}
 	return out
 }
 
--- a/dispatch/memory.go
+++ b/dispatch/memory.go
@@ -8,81 +8,83 @@
 	"masticbay/job"
 )
 
-// memory is what is kept of a job, besides its answer, as long as claims may
-// ask for it.
-type memory struct {
-	bound  gate.Ballot // of the highest claim that was granted
-	traces []trace
-	until  time.Time
+// jobMemory is the record of a job, besides its answer, that is kept as long as
+// claims may ask for it.
+type jobMemory struct {
+	bound     gate.Ballot // of the highest claim that was granted
+	traces    []trace
+	expiresAt time.Time
 }
 
-// trace is a claim.Trace with the time of the attempt by the own clock, or an
-// earlier one.
+// trace is a claim.Trace with the time of the attempt by the clock of this entry.
 type trace struct {
 	claim.Trace
-	sent time.Time
+	sentAt time.Time // time of the attempt, or earlier
 }
 
-// received returns traces of a message that tells their ages as of at.
-func received(at time.Time, trs []claim.Trace) (own []trace) {
+// decodeTraces converts the traces of a message whose ages are as of at.
+func decodeTraces(at time.Time, trs []claim.Trace) (own []trace) {
 	for _, tr := range trs {
 		own = append(own, trace{tr, at.Add(-tr.Age)})
 	}
 	return own
 }
 
-// told returns traces for a message.
-func told(now time.Time, own []trace) (trs []claim.Trace) {
+// encodeTraces converts traces for a message made now.
+func encodeTraces(now time.Time, own []trace) (trs []claim.Trace) {
 	for _, tr := range own {
-		tr.Age = now.Sub(tr.sent)
+		tr.Age = now.Sub(tr.sentAt)
 		trs = append(trs, tr.Trace)
 	}
 	return trs
 }
 
-func (c *Core) memory(now time.Time, k job.Key) *memory {
+// memoryOf returns the memory of a job and keeps it for another retention. It
+// creates the memory if there is none.
+func (c *Core) memoryOf(now time.Time, k job.Key) *jobMemory {
 	m := c.memories[k]
 	if m == nil {
-		m = &memory{}
+		m = &jobMemory{}
 		c.memories[k] = m
 		c.timers.add(now.Add(c.cfg.Retention), timer{kind: memoryTimer, key: k})
 	}
-	m.until = now.Add(c.cfg.Retention)
+	m.expiresAt = now.Add(c.cfg.Retention)
 	return m
 }
 
-// memoryDue forgets a memory that has not been used for the retention.
-func (c *Core) memoryDue(now time.Time, k job.Key) {
+// onMemory deletes a memory that has not been used for the retention.
+func (c *Core) onMemory(now time.Time, k job.Key) {
 	m := c.memories[k]
 	switch {
 	case m == nil:
-	case now.Before(m.until):
-		c.timers.add(m.until, timer{kind: memoryTimer, key: k})
+	case now.Before(m.expiresAt):
+		c.timers.add(m.expiresAt, timer{kind: memoryTimer, key: k})
 	default:
 		delete(c.memories, k)
 	}
 }
 
-// keepTraces adds what is known of the tasks of j to its memory.
-func (c *Core) keepTraces(now time.Time, j *activeJob) {
-	m := c.memory(now, j.spec.Key)
+// recordTraces adds the attempts of the tasks of j to its memory.
+func (c *Core) recordTraces(now time.Time, j *activeJob) {
+	m := c.memoryOf(now, j.spec.Key)
 	for i := range j.tasks {
 		if tr, ok := j.trace(c.id, i); ok {
 			m.add(tr)
 		}
-		for _, tr := range j.tasks[i].others {
+		for _, tr := range j.tasks[i].otherAttempts {
 			m.add(tr)
 		}
 	}
 }
 
-// trace describes a task that may have started.
+// trace describes the attempt of a task. It reports whether the attempt may have
+// started.
 func (j *activeJob) trace(entry string, i int) (tr trace, ok bool) {
 	t := &j.tasks[i]
 	tr.Trace = claim.Trace{Index: i, State: t.state, Agent: t.agent, Entry: entry, Attempt: t.attempt, Result: t.result, Error: t.err}
-	tr.sent = t.sent
-	if t.origin != "" {
-		tr.Entry, tr.Attempt = t.origin, t.originAttempt
+	tr.sentAt = t.sentAt
+	if t.originEntry != "" {
+		tr.Entry, tr.Attempt = t.originEntry, t.originAttempt
 	}
 	if t.state == job.Unknown {
 		tr.State = job.Dispatched
@@ -91,15 +93,16 @@
 	return tr, started && !t.rerun && t.agent != ""
 }
 
-// add keeps a trace, or what is newly known of it.
-func (m *memory) add(tr trace) {
+// add stores a trace, or replaces a trace of the same attempt whose outcome was
+// not known.
+func (m *jobMemory) add(tr trace) {
 	for i := range m.traces {
 		old := &m.traces[i]
 		if old.Index != tr.Index || old.Entry != tr.Entry || old.Attempt != tr.Attempt {
 			continue
 		}
 		if old.State == job.Dispatched {
-			tr.sent = earlier(tr.sent, old.sent)
+			tr.sentAt = earlier(tr.sentAt, old.sentAt)
 			*old = tr
 		}
 		return
@@ -107,21 +110,21 @@
 	m.traces = append(m.traces, tr)
 }
 
-// disprove remembers that the attempt of a task is proven not to have started,
-// so that no claim asks for it again.
-func (c *Core) disprove(now time.Time, j *activeJob, i int) {
+// recordNotStarted records that the attempt of a task is proven not to have
+// started, so that no claim asks for it again.
+func (c *Core) recordNotStarted(now time.Time, j *activeJob, i int) {
 	tr, ok := j.trace(c.id, i)
 	if !ok || !j.tasks[i].adopted {
-		return // no other entry knows of the attempt
+		return // no other entry has a trace of the attempt
 	}
-	m := c.memory(now, j.spec.Key)
+	m := c.memoryOf(now, j.spec.Key)
 	tr.State = job.NotRun
 	m.add(tr)
 }
 
-// of returns the traces of one task; if one tells the end of the task, only
-// that one.
-func (m *memory) of(index int) (trs []trace) {
+// tracesOf returns the traces of one task that may have started it. If one of
+// them has the outcome of the task, it returns only that one.
+func (m *jobMemory) tracesOf(index int) (trs []trace) {
 	for _, tr := range m.traces {
 		switch {
 		case tr.Index != index || tr.State == job.NotRun:
--- a/dispatch/reply.go
+++ b/dispatch/reply.go
@@ -9,80 +9,81 @@
 	"masticbay/wire"
 )
 
-// RunDone takes an agent's reply to a dispatch.
+// RunDone applies an agent's reply to a dispatch.
 func (c *Core) RunDone(now time.Time, attempt uint64, dec *gate.Decision, st *wire.Status) {
-	place, current := c.attempts[attempt]
-	c.status(now, st)
-	if current {
-		j := c.jobs[place.key]
-		c.decide(now, j, place.index, dec)
+	ref, open := c.attempts[attempt]
+	c.applyStatus(now, st)
+	if open {
+		j := c.jobs[ref.key]
+		c.applyDecision(now, j, ref.index, dec)
 	}
 	if a := c.agents[st.Agent]; a != nil {
 		c.schedule(now, c.service(a.service))
 	}
 }
 
-// RunLost takes the failure of a call that carried a dispatch. If the dispatch
-// never left this process, the task is free again; otherwise its outcome is
+// RunLost handles the failure of a call that carried a dispatch. If the dispatch
+// never left this process, the task is queued again; otherwise its outcome is
 // unclear.
 func (c *Core) RunLost(now time.Time, attempt uint64, sent bool) {
-	place, current := c.attempts[attempt]
-	if !current {
+	ref, open := c.attempts[attempt]
+	if !open {
 		return
 	}
-	j := c.jobs[place.key]
-	t := &j.tasks[place.index]
+	j := c.jobs[ref.key]
+	t := &j.tasks[ref.index]
 	if sent {
-		c.unclear(now, j, place.index)
+		c.markUnclear(now, j, ref.index)
 		return
 	}
 	if a := c.agents[t.agent]; a != nil {
-		a.purse.Restore(t.epoch)
+		a.balance.Restore(t.epoch)
 	}
-	c.requeue(now, j, place.index)
+	c.requeue(now, j, ref.index)
 	c.schedule(now, c.service(j.spec.Service))
 }
 
-// decide applies a decision about the current attempt of a task. An agent
-// forgets what it started after the retention; from then on its word that the
+// applyDecision applies a decision about the open attempt of a task. An agent
+// deletes its records after the retention; its answer after that time that the
 // attempt did not start proves nothing.
-func (c *Core) decide(now time.Time, j *activeJob, i int, dec *gate.Decision) {
-	if dec.Verdict != gate.Recorded && now.Sub(j.tasks[i].sent) >= c.cfg.Retention {
-		c.unclear(now, j, i)
+func (c *Core) applyDecision(now time.Time, j *activeJob, i int, dec *gate.Decision) {
+	if dec.Verdict != gate.Recorded && now.Sub(j.tasks[i].sentAt) >= c.cfg.Retention {
+		c.markUnclear(now, j, i)
 		return
 	}
 	switch dec.Verdict {
 	case gate.Recorded:
-		c.record(now, j, i, &dec.Report)
+		c.applyReport(now, j, i, &dec.Report)
 	case gate.Refused:
-		c.noteRefusal(&j.tasks[i], dec.Reason)
+		c.recordRefusal(&j.tasks[i], dec.Reason)
 		c.requeue(now, j, i)
 	case gate.Sealed:
 		c.requeue(now, j, i)
 	case gate.Held:
-		c.held(now, j, i, dec.Holder)
+		c.lostToRival(now, j, i, dec.Holder)
 	case gate.Lost, gate.Start:
-		c.unclear(now, j, i)
+		c.markUnclear(now, j, i)
 	}
 }
 
-// held yields a job to a rival claim. A later claim of this entry itself only
-// frees the task, which was dispatched before that claim.
-func (c *Core) held(now time.Time, j *activeJob, i int, holder gate.Ballot) {
-	c.ballot = max(c.ballot, holder.N)
+// lostToRival gives a job up to a claim with a higher ballot. If that is a later
+// claim of this entry itself, only the task is queued again, since it was
+// dispatched before the claim.
+func (c *Core) lostToRival(now time.Time, j *activeJob, i int, holder gate.Ballot) {
+	c.lastBallot = max(c.lastBallot, holder.N)
 	if holder.Entry != c.id {
-		c.yield(now, j, holder)
+		c.yieldJob(now, j, holder)
 		return
 	}
 	if j.ballot.Less(holder) {
-		j.ballot = holder // the agent obeys no lower one
+		j.ballot = holder // the agent obeys no lower ballot
 	}
 	c.requeue(now, j, i)
 }
 
-// noteRefusal keeps the entry from repeating a dispatch that the agent would
-// refuse again.
-func (c *Core) noteRefusal(t *task, reason gate.Reason) {
+// recordRefusal updates the status of an agent by the reason of its refusal, so
+// that the Core does not repeat a dispatch that would be refused again.
+func (c *Core) recordRefusal(t *task, reason gate.Reason) {
 	a := c.agents[t.agent]
 	if a == nil {
 		return
@@ -99,98 +100,102 @@
 	}
 }
 
-// record applies what an agent recorded about a started task.
-func (c *Core) record(now time.Time, j *activeJob, i int, rep *gate.Report) {
+// applyReport applies an agent's record of a started task.
+func (c *Core) applyReport(now time.Time, j *activeJob, i int, rep *gate.Report) {
 	t := &j.tasks[i]
 	switch rep.Phase {
 	case gate.Running:
-		c.unclear(now, j, i)
-		t.unclear = now
+		c.markUnclear(now, j, i)
+		t.unclearSince = now
 	case gate.Succeeded:
 		t.result = rep.Result
-		c.observe(now, j, t, rep)
+		c.updateHealth(now, j, t, rep)
 		c.finishTask(now, j, i, job.Done)
 	case gate.Errored:
 		t.err = rep.Error
-		c.observe(now, j, t, rep)
+		c.updateHealth(now, j, t, rep)
 		c.finishTask(now, j, i, job.Failed)
 	}
 }
 
-// observe learns the target's health and run time from a task that ended.
-func (c *Core) observe(now time.Time, j *activeJob, t *task, rep *gate.Report) {
+// updateHealth updates the health and the run times of the target from a task
+// that ended.
+func (c *Core) updateHealth(now time.Time, j *activeJob, t *task, rep *gate.Report) {
 	a := c.agents[t.agent]
 	if a == nil || t.adopted {
 		return
 	}
 	s := c.service(j.spec.Service)
 	failed := rep.Phase == gate.Errored
-	a.health.End(now, failed, c.lonely(now, s, a), rep.Took)
+	a.health.End(now, failed, c.onlySuccessful(now, s, a), rep.Took)
 	if !failed {
 		s.lastSuccess[a.id] = now
-		s.mean.End(now, false, true, rep.Took)
+		s.runTimes.End(now, false, true, rep.Took)
 	}
 }
 
-// successMemory is how long a success of one target speaks for its tasks.
-const successMemory = 30 * time.Second
+// successMaxAge is how long a success of one target shows that tasks of the
+// service can succeed, so that failures at other targets count against those
+// targets.
+const successMaxAge = 30 * time.Second
 
-// lonely reports whether no target but that of a has succeeded lately.
-func (c *Core) lonely(now time.Time, s *service, a *agent) bool {
+// onlySuccessful reports whether no target except that of a has succeeded within
+// successMaxAge.
+func (c *Core) onlySuccessful(now time.Time, s *service, a *agent) bool {
 	for id, at := range s.lastSuccess {
-		if id != a.id && now.Sub(at) < successMemory {
+		if id != a.id && now.Sub(at) < successMaxAge {
 			return false
 		}
 	}
 	return true
 }
 
-// freeTries is the number of refused attempts of a task after which the next
-// one waits, so that a refusal that repeats costs few messages.
-const freeTries = 3
+// immediateRequeues is how often a task is queued again without a backoff. The
+// backoff after that keeps the messages few when a refusal repeats.
+const immediateRequeues = 3
 
-// longestTryPause bounds the pause between refused attempts.
-const longestTryPause = time.Second
+// maxRequeueBackoff bounds the backoff between refused attempts.
+const maxRequeueBackoff = time.Second
 
-// requeue frees a task whose attempt is proven not to have started.
+// requeue queues a task again whose attempt is proven not to have started.
 func (c *Core) requeue(now time.Time, j *activeJob, i int) {
 	t := &j.tasks[i]
 	c.release(now, c.service(j.spec.Service), j, t)
-	others := t.others
-	c.disprove(now, j, i)
+	others := t.otherAttempts
+	c.recordNotStarted(now, j, i)
 	t.agent = ""
-	t.unclear = time.Time{}
-	t.pause = 0
+	t.unclearSince = time.Time{}
+	t.backoff = 0
 	t.adopted = false
-	t.origin, t.others = "", nil
+	t.originEntry, t.otherAttempts = "", nil
 	t.state = job.Queued
-	j.next = min(j.next, i)
+	j.scanFrom = min(j.scanFrom, i)
 	if len(others) > 0 {
-		c.recallTask(now, j, i, others)
+		c.mergeTaskTraces(now, j, i, others)
 		return
 	}
-	if reason := j.over(now); reason != "" {
-		c.dropQueued(now, j, reason)
+	if reason := j.stopReason(now); reason != "" {
+		c.stopQueued(now, j, reason)
 		return
 	}
 	c.counters.Requeued++
-	t.tries++
+	t.requeues++
 	if j.claim != nil {
-		return // withheld until the claim is decided
+		return // the end of the claim queues the task
 	}
-	if t.tries <= freeTries {
-		c.push(j, 1)
+	if t.requeues <= immediateRequeues {
+		c.pushTasks(j, 1)
 		return
 	}
-	pause := min(c.cfg.AskPause<<min(t.tries-freeTries, maxShift), longestTryPause)
-	c.timers.add(now.Add(pause), timer{kind: requeueTimer, key: j.spec.Key})
+	backoff := min(c.cfg.AskPause<<min(t.requeues-immediateRequeues, maxBackoffShift), maxRequeueBackoff)
+	c.timers.add(now.Add(backoff), timer{kind: requeueTimer, key: j.spec.Key})
 }
 
-// maxShift keeps a doubled pause from overflowing.
-const maxShift = 10
+// maxBackoffShift keeps the doubled backoff from overflowing.
+const maxBackoffShift = 10
 
-// finishTask sets the final state of a task and answers the job if it was the
-// last one.
+// finishTask sets the final state of a task. It answers the job if no task of it
+// is open any more.
 func (c *Core) finishTask(now time.Time, j *activeJob, i int, s job.State) {
 	t := &j.tasks[i]
 	if t.state.Final() {
@@ -203,23 +208,24 @@
 		c.release(now, c.service(j.spec.Service), j, t)
 	}
 	t.state = s
-	t.unclear = time.Time{}
+	t.unclearSince = time.Time{}
 	switch s {
 	case job.NotRun:
 		c.counters.NotRun++
 	case job.Unknown:
 		c.counters.Unknown++
 	}
-	j.open--
-	if j.open == 0 {
+	j.openTasks--
+	if j.openTasks == 0 {
 		c.finishJob(now, j)
 		return
 	}
-	if reason := j.over(now); reason != "" && s != job.NotRun {
-		c.dropQueued(now, j, reason)
+	if reason := j.stopReason(now); reason != "" && s != job.NotRun {
+		c.stopQueued(now, j, reason)
 	}
 }
 
+// finishJob answers a job and records its traces for later claims.
 func (c *Core) finishJob(now time.Time, j *activeJob) {
 	ans := job.Answer{Key: j.spec.Key, Submission: j.submission, Counts: j.counts()}
 	if ans.Counts.Done == len(j.tasks) {
@@ -229,15 +235,15 @@
 	} else {
 		c.counters.Failed++
 		ans.Status = job.Broken
-		ans.Reason = j.failure(ans.Counts)
+		ans.Reason = j.failureReason(ans.Counts)
 		ans.States = j.states()
 	}
 	j.answer = &ans
-	c.keepTraces(now, j)
-	j.drop()
-	c.out.Answers = append(c.out.Answers, ans)
-	j.keepUntil = later(now, j.deadline).Add(c.cfg.Window)
-	c.timers.add(j.keepUntil, timer{kind: forgetTimer, key: j.spec.Key})
+	c.recordTraces(now, j)
+	j.releaseTasks()
+	c.actions.Answers = append(c.actions.Answers, ans)
+	j.expiresAt = later(now, j.deadline).Add(c.cfg.Window)
+	c.timers.add(j.expiresAt, timer{kind: expiryTimer, key: j.spec.Key})
 }
 
 func later(a, b time.Time) time.Time {
@@ -263,13 +269,13 @@
 	return ss
 }
 
-// drop frees what only a running job needs.
-func (j *activeJob) drop() {
+// releaseTasks frees the memory that only a job without an answer needs.
+func (j *activeJob) releaseTasks() {
 	j.tasks = nil
 	j.spec.Tasks = nil
 }
 
-func (j *activeJob) failure(n job.Counts) string {
+func (j *activeJob) failureReason(n job.Counts) string {
 	if j.reason != "" {
 		return j.reason
 	}
--- a/dispatch/schedule.go
+++ b/dispatch/schedule.go
@@ -8,31 +8,32 @@
 	"masticbay/wire"
 )
 
-// schedule binds waiting tasks of s to credits while there are both.
+// schedule dispatches waiting tasks of s while agents with credits can take
+// them.
 func (c *Core) schedule(now time.Time, s *service) {
 	for s.queue.Len() > 0 && c.serviceAllows(s) {
 		it, ok := s.queue.Next(c.teamAllows)
 		if !ok {
-			c.out.QuotaShort = true
+			c.actions.QuotaShort = true
 			return
 		}
 		j := c.jobs[it.Key]
-		if c.tooLate(now, s, j) {
-			j.late = true
-			s.queue.Remove(it.Key) // or this would not end
-			c.dropQueued(now, j, reasonLate)
+		if c.wouldMissDeadline(now, s, j) {
+			j.missesDeadline = true
+			s.queue.Remove(it.Key) // otherwise the loop would not end
+			c.stopQueued(now, j, reasonLate)
 			continue
 		}
-		a := c.pick(now, s, j)
-		if a == nil && c.setAside(now, s, j) {
+		a := c.pickAgent(now, s, j)
+		if a == nil && c.parkJob(now, s, j) {
 			continue
 		}
 		if a == nil {
-			c.starved(now, s)
+			c.askIfStarved(now, s)
 			return
 		}
-		if b := c.faster(now, s, j, a); b != nil {
-			c.ask(now, s, b)
+		if better := c.fasterAgent(now, s, j, a); better != nil {
+			c.ask(now, s, better)
 			return
 		}
 		c.dispatch(now, s, j, a)
@@ -44,13 +45,14 @@
 }
 
 func (c *Core) teamAllows(team string) bool {
-	return c.limits.Teams[team].allows(c.running(team))
+	return c.limits.Teams[team].allows(c.runningOf(team))
 }
 
-// tooLate reports whether even a task that started now would miss the
-// deadline by the run times seen so far.
-func (c *Core) tooLate(now time.Time, s *service, j *activeJob) bool {
-	fastest := s.mean.Mean()
+// wouldMissDeadline reports whether even a task that started now would miss the
+// deadline, judged by the run times so far: it allows half the mean run time of
+// the fastest agent.
+func (c *Core) wouldMissDeadline(now time.Time, s *service, j *activeJob) bool {
+	fastest := s.runTimes.Mean()
 	for _, a := range s.agents {
 		if m := a.health.Mean(); m > 0 && m < fastest {
 			fastest = m
@@ -59,43 +61,46 @@
 	return now.Add(fastest / 2).After(j.deadline)
 }
 
-// pick returns the usable agent with the shortest expected run time, if it can
-// be one that is not reserved for other teams.
-func (c *Core) pick(now time.Time, s *service, j *activeJob) *agent {
-	var best choice
-	reserved := c.reserve(now, s, j.spec.Team)
+// pickAgent returns the usable agent with the lowest cost. It prefers agents
+// with slots that are not reserved for other teams.
+func (c *Core) pickAgent(now time.Time, s *service, j *activeJob) *agent {
+	var best candidate
+	reserved := c.reserveForOthers(now, s, j.spec.Team)
 	for _, a := range s.agents {
 		if !c.usable(now, a, j) {
 			continue
 		}
-		if next := (choice{a, c.cost(s, a), reserved && a.teams[j.spec.Team]+a.reserved >= a.status.Slots}); next.before(best) {
+		if next := (candidate{a, c.cost(s, a), reserved && a.tasksByTeam[j.spec.Team]+a.reserved >= a.status.Slots}); next.betterThan(best) {
 			best = next
 		}
 	}
 	return best.agent
 }
 
-// choice is an agent that could take a task. The zero choice is none.
-type choice struct {
-	agent *agent
-	cost  time.Duration
-	over  bool // what is left of it is reserved for other teams
+// candidate is an agent that could take a task. The zero candidate is none.
+type candidate struct {
+	agent             *agent
+	cost              time.Duration
+	reservedForOthers bool // the slots that are left are reserved for other teams
 }
 
-func (x choice) before(y choice) bool {
+// betterThan reports whether x is preferred to y.
+func (x candidate) betterThan(y candidate) bool {
 	switch {
 	case y.agent == nil:
 		return true
-	case x.over != y.over:
-		return y.over
+	case x.reservedForOthers != y.reservedForOthers:
+		return y.reservedForOthers
 	case x.cost != y.cost:
 		return x.cost < y.cost
 	}
 	return x.agent.inFlight < y.agent.inFlight
 }
 
+// usable reports whether a task of j can be dispatched to a now: a credit is at
+// hand and the agent's gate would take the task.
 func (c *Core) usable(now time.Time, a *agent, j *activeJob) bool {
-	if a.purse.Available() == 0 || !c.reachable(now, a) || now.Sub(a.stampAt) >= c.cfg.StampLife {
+	if a.balance.Available() == 0 || !c.acceptsWork(now, a) || now.Sub(a.stampReceived) >= c.cfg.StampLife {
 		return false
 	}
 	return a.eligible(j) && !c.registry.Suspended[a.id]
@@ -116,10 +121,11 @@
 	return a.status.Listed > 0 && a.status.Listed <= c.registry.Revision
 }
 
-// setAside takes a job out of the queue that no agent with credits may take
-// now: to claim it, if that makes an agent with credits eligible, or to wait,
-// if no agent of the service is eligible at all. It reports whether it did.
-func (c *Core) setAside(now time.Time, s *service, j *activeJob) bool {
+// parkJob takes a job out of the queue that no agent with credits may take
+// now: it claims the job if that makes an agent with credits eligible, or
+// lets it wait if no agent of the service is eligible at all. It reports
+// whether it took the job out.
+func (c *Core) parkJob(now time.Time, s *service, j *activeJob) bool {
 	if j.spec.Idempotent {
 		return false
 	}
@@ -132,7 +138,7 @@
 			blocked = false
 			continue
 		}
-		if a.purse.Available() > 0 && c.eligibleOnClaim(a) && a.health.Allows(now) && !now.Before(j.upgradeAt) {
+		if a.balance.Available() > 0 && c.eligibleOnClaim(a) && a.health.Allows(now) && !now.Before(j.optionalClaimAt) {
 			c.startClaim(now, j, optionalClaim)
 			return true
 		}
@@ -142,14 +148,16 @@
 	}
 	s.queue.Remove(j.spec.Key)
 	c.timers.add(now.Add(c.cfg.AskPause), timer{kind: requeueTimer, key: j.spec.Key})
-	c.starved(now, s)
+	c.askIfStarved(now, s)
 	return true
 }
 
+// cost returns the expected run time at an agent, with the penalty for another
+// data centre.
 func (c *Core) cost(s *service, a *agent) time.Duration {
 	cost := a.health.Mean()
 	if cost == 0 {
-		cost = s.mean.Mean()
+		cost = s.runTimes.Mean()
 	}
 	if a.dataCentre != c.cfg.DataCentre {
 		cost += c.cfg.FarPenalty
@@ -157,22 +165,23 @@
 	return cost
 }
 
+// dispatch sends the next waiting task of j to an agent and spends a credit.
 func (c *Core) dispatch(now time.Time, s *service, j *activeJob, a *agent) {
 	i := j.nextQueued()
 	s.queue.Take(j.spec.Key)
 	t := &j.tasks[i]
-	c.attempt++
+	c.lastAttempt++
 	t.state = job.Dispatched
-	t.attempt = c.attempt
+	t.attempt = c.lastAttempt
 	t.agent = a.id
-	t.sent = now
-	t.unclear = time.Time{}
-	t.epoch = a.purse.Spend()
-	c.attempts[t.attempt] = taskPlace{j.spec.Key, i}
+	t.sentAt = now
+	t.unclearSince = time.Time{}
+	t.epoch = a.balance.Spend()
+	c.attempts[t.attempt] = taskRef{j.spec.Key, i}
 	c.occupy(now, s, j, a)
 	c.counters.Dispatched++
-	elapsed := now.Sub(a.stampAt)
-	c.out.Runs = append(c.out.Runs, Run{Agent: a.id, Args: wire.RunArgs{
+	elapsed := now.Sub(a.stampReceived)
+	c.actions.Runs = append(c.actions.Runs, Run{Agent: a.id, Args: wire.RunArgs{
 		Epoch:  t.epoch,
 		Demand: s.queue.Len(),
 		Dispatch: gate.Dispatch{
@@ -192,20 +201,23 @@
 	}})
 }
 
+// nextQueued returns the index of the first queued task, or the number of tasks
+// if there is none.
 func (j *activeJob) nextQueued() int {
-	for j.next < len(j.tasks) && j.tasks[j.next].state != job.Queued {
-		j.next++
+	for j.scanFrom < len(j.tasks) && j.tasks[j.scanFrom].state != job.Queued {
+		j.scanFrom++
 	}
-	return j.next
+	return j.scanFrom
 }
 
+// occupy counts a dispatched task of j as running at an agent.
 func (c *Core) occupy(now time.Time, s *service, j *activeJob, a *agent) {
 	s.running++
-	c.count(now, j.spec.Team, a, 1)
+	c.addRunning(now, j.spec.Team, a, 1)
 	a.health.Begin()
 }
 
-// release undoes occupy and forgets the attempt of t.
+// release undoes occupy and deletes the attempt of t.
 func (c *Core) release(now time.Time, s *service, j *activeJob, t *task) {
 	delete(c.attempts, t.attempt)
 	if t.adopted {
@@ -213,22 +225,24 @@
 	}
 	s.running--
 	a := c.agents[t.agent]
-	c.count(now, j.spec.Team, a, -1)
+	c.addRunning(now, j.spec.Team, a, -1)
 	if a != nil {
 		a.health.Abort()
 	}
 }
 
-// faster returns an agent that holds free slots for other entries and is so
-// much faster than a that asking it for a credit pays.
-func (c *Core) faster(now time.Time, s *service, j *activeJob, a *agent) *agent {
+// fasterAgent returns the fastest agent that has free slots, but no credit of
+// this entry, and costs less than the share Config.AskGain of the cost of a: so
+// much faster that a request for a credit pays off. It returns nil if there is
+// none.
+func (c *Core) fasterAgent(now time.Time, s *service, j *activeJob, a *agent) *agent {
 	if c.cfg.AskGain == 0 {
 		return nil
 	}
 	bound := time.Duration(float64(c.cost(s, a)) * c.cfg.AskGain)
 	var best *agent
 	for _, b := range s.agents {
-		if b == a || b.asking || b.status.Idle == 0 || b.purse.Available() > 0 || !c.reachable(now, b) || !b.eligible(j) {
+		if b == a || b.askPending || b.status.Idle == 0 || b.balance.Available() > 0 || !c.acceptsWork(now, b) || !b.eligible(j) {
 			continue
 		}
 		if cost := c.cost(s, b); cost < bound {
@@ -238,14 +252,14 @@
 	return best
 }
 
-// starved asks an agent for credits when tasks wait and none is at hand. While
-// tasks run, their replies bring credits back, so that only an agent that is
-// known to have free slots is asked.
-func (c *Core) starved(now time.Time, s *service) {
+// askIfStarved asks an agent for credits when tasks wait and no credit is at
+// hand. While tasks run, their replies bring credits back, so it asks only an
+// agent that is known to have free slots.
+func (c *Core) askIfStarved(now time.Time, s *service) {
 	if s.queue.Len() < c.cfg.AskThreshold && s.running > 0 {
 		return
 	}
-	a := c.lender(now, s)
+	a := c.agentToAsk(now, s)
 	switch {
 	case a != nil && now.Sub(s.lastAsk) >= c.cfg.AskPause:
 		c.ask(now, s, a)
@@ -254,26 +268,27 @@
 	}
 }
 
-// ask sends a request for credits; its reply schedules s again.
+// ask sends a request for credits. Its reply schedules s again.
 func (c *Core) ask(now time.Time, s *service, a *agent) {
 	s.lastAsk = now
-	a.asking = true
-	a.status.Idle = 0 // until it tells otherwise
-	c.out.Asks = append(c.out.Asks, Ask{Agent: a.id, Demand: max(1, s.queue.Len())})
+	a.askPending = true
+	a.status.Idle = 0 // until its next status
+	c.actions.Asks = append(c.actions.Asks, Ask{Agent: a.id, Demand: max(1, s.queue.Len())})
 	c.timers.add(now.Add(askTimeout), timer{kind: scheduleTimer, name: s.name})
 }
 
-// askTimeout is when waiting tasks are looked at again if no reply has come.
+// askTimeout is how long to wait for the reply to a request for credits before
+// waiting tasks are scheduled again.
 const askTimeout = 100 * time.Millisecond
 
-// lender returns the reachable agent with the most free slots that are not
-// lent to this entry, as far as is known. One that was not heard from lately
-// is as good as one with a free slot.
-func (c *Core) lender(now time.Time, s *service) *agent {
+// agentToAsk returns the agent with the most free slots that are not lent to
+// this entry, by its last status, or nil. An agent without a free slot is a
+// candidate as well if its status is older than idleMaxAge or no task runs.
+func (c *Core) agentToAsk(now time.Time, s *service) *agent {
 	var best *agent
 	for _, a := range s.agents {
-		known := now.Sub(a.stampAt) < newsLife && s.running > 0
-		if a.asking || !c.reachable(now, a) || (known && a.status.Idle == 0) {
+		current := now.Sub(a.stampReceived) < idleMaxAge && s.running > 0
+		if a.askPending || !c.acceptsWork(now, a) || (current && a.status.Idle == 0) {
 			continue
 		}
 		if best == nil || a.status.Idle > best.status.Idle {
@@ -283,11 +298,13 @@
 	return best
 }
 
-// newsLife is how long an agent's word that it has no free slot is believed. It
-// knows the demand from then on, and offers credits by itself.
-const newsLife = 5 * time.Second
+// idleMaxAge is how long an agent's status without a free slot is trusted. The
+// agent knows the demand of this entry and offers credits when slots become
+// free, so it need not be asked in that time.
+const idleMaxAge = 5 * time.Second
 
-// reachable reports whether an agent can be sent anything new.
-func (c *Core) reachable(now time.Time, a *agent) bool {
+// acceptsWork reports whether an agent can be sent dispatches and requests for
+// credits.
+func (c *Core) acceptsWork(now time.Time, a *agent) bool {
 	return a.reachable && !a.status.Draining && a.health.Allows(now)
 }
--- a/dispatch/submit.go
+++ b/dispatch/submit.go
@@ -9,15 +9,15 @@
 	"masticbay/queue"
 )
 
-// Admission is what the entry knows about a submission besides its content.
+// Admission holds what the entry knows about a submission besides its content.
 type Admission struct {
 	Submission string // unique among all submissions
 	Claim      bool   // another entry may have run the job
 }
 
-// Ticket tells what became of an accepted submission.
+// Ticket is the result of an accepted submission.
 type Ticket struct {
-	Attached bool        // the key was known
+	Attached bool        // the job of this key was known, and was not submitted anew
 	Answer   *job.Answer // set when the job has ended
 }
 
@@ -30,7 +30,7 @@
 		c.counters.Refused++
 		return Ticket{}, &job.RefusedError{Code: job.KeyConflict, Message: "key " + strconv.Quote(string(spec.Key)) + " names another job"}
 	}
-	if j != nil && !j.doubtful() {
+	if j != nil && !j.mayBeOutdated() {
 		c.counters.Attached++
 		return Ticket{Attached: true, Answer: j.answer}, nil
 	}
@@ -41,9 +41,9 @@
 	c.counters.Submitted++
 	next := c.newJob(now, spec, hash, adm)
 	if j != nil {
-		next.inherit(j)
+		next.inheritCancellation(j)
 	}
-	if adm.Claim || j != nil || c.bound(spec.Key) {
+	if adm.Claim || j != nil || c.isBound(spec.Key) {
 		c.startClaim(now, next, requiredClaim)
 	} else {
 		c.enqueue(next)
@@ -52,21 +52,23 @@
 	return Ticket{}, nil
 }
 
-// bound reports whether another entry has claimed the job here.
-func (c *Core) bound(k job.Key) bool {
+// isBound reports whether another entry has claimed the job here.
+func (c *Core) isBound(k job.Key) bool {
 	m := c.memories[k]
 	return m != nil && !m.bound.Zero()
 }
 
-// doubtful reports whether the answer of a job may no longer be true: what did
-// not run here may have run at another entry since. A resubmission then claims
-// the job again, and runs what is still proven not to have started.
-func (j *activeJob) doubtful() bool {
+// mayBeOutdated reports whether the answer of a job may no longer be true: a task
+// that did not run here may have run at another entry since. A resubmission then
+// claims the job again, and runs the tasks that are still proven not to have
+// started.
+func (j *activeJob) mayBeOutdated() bool {
 	return j.answer != nil && j.answer.Counts.NotRun > 0
 }
 
-// inherit keeps a cancelled job from running when it is submitted again.
-func (j *activeJob) inherit(earlier *activeJob) {
+// inheritCancellation keeps a cancelled job from running when it is submitted
+// again.
+func (j *activeJob) inheritCancellation(earlier *activeJob) {
 	j.cancelled = earlier.cancelled
 	j.reason = ""
 	if j.cancelled {
@@ -74,6 +76,7 @@
 	}
 }
 
+// admit returns the error that refuses a new job, or nil.
 func (c *Core) admit(spec *job.Spec) error {
 	s := c.services[spec.Service]
 	share, listed := c.limits.Services[spec.Service]
@@ -92,7 +95,8 @@
 	return c.admitLoad(s, spec)
 }
 
-// admitLoad refuses what would wait past its deadline or overfill the queue.
+// admitLoad refuses a job that would wait past its deadline or overfill the
+// queue.
 func (c *Core) admitLoad(s *service, spec *job.Spec) error {
 	wait := c.expectedWait(s)
 	if wait > spec.Deadline || s.queue.Len()+len(spec.Tasks) > c.cfg.MaxWaiting {
@@ -110,25 +114,26 @@
 	if s.queue.Len() == 0 || s.running == 0 {
 		return 0
 	}
-	return s.mean.Mean() * time.Duration(s.queue.Len()) / time.Duration(s.running)
+	return s.runTimes.Mean() * time.Duration(s.queue.Len()) / time.Duration(s.running)
 }
 
 func (c *Core) newJob(now time.Time, spec *job.Spec, hash uint64, adm Admission) *activeJob {
 	j := &activeJob{
-		spec:       *spec,
-		hash:       hash,
-		submission: adm.Submission,
-		submitted:  now,
-		deadline:   now.Add(spec.Deadline),
-		registry:   c.registry.Revision,
-		tasks:      make([]task, len(spec.Tasks)),
-		open:       len(spec.Tasks),
+		spec:        *spec,
+		hash:        hash,
+		submission:  adm.Submission,
+		submittedAt: now,
+		deadline:    now.Add(spec.Deadline),
+		registry:    c.registry.Revision,
+		tasks:       make([]task, len(spec.Tasks)),
+		openTasks:   len(spec.Tasks),
 	}
 	c.jobs[spec.Key] = j
 	c.timers.add(j.deadline, timer{kind: deadlineTimer, key: spec.Key})
 	return j
 }
 
+// enqueue puts all waiting tasks of j into the queue of its service.
 func (c *Core) enqueue(j *activeJob) {
 	waiting := 0
 	for i := range j.tasks {
@@ -136,22 +141,23 @@
 			waiting++
 		}
 	}
-	c.push(j, waiting)
+	c.pushTasks(j, waiting)
 }
 
-func (c *Core) push(j *activeJob, n int) {
+func (c *Core) pushTasks(j *activeJob, n int) {
 	it := queue.Item{Key: j.spec.Key, Team: j.spec.Team, Waiting: n, Deadline: j.deadline}
-	c.service(j.spec.Service).queue.Push(it, c.weight(j.spec.Team))
+	c.service(j.spec.Service).queue.Push(it, c.teamWeight(j.spec.Team))
 }
 
-func (c *Core) weight(team string) float64 {
+func (c *Core) teamWeight(team string) float64 {
 	if s, ok := c.limits.Teams[team]; ok {
 		return s.Weight
 	}
 	return 1
 }
 
-// Lookup returns the answer of a job, or its counts while it runs.
+// Lookup returns the answer of a job, or its counts while it is open. It reports
+// false if the job is not known.
 func (c *Core) Lookup(k job.Key) (job.Answer, bool) {
 	j := c.jobs[k]
 	if j == nil {
--- a/dispatch/timer.go
+++ b/dispatch/timer.go
@@ -7,29 +7,30 @@
 	"masticbay/job"
 )
 
-// timerKind tells what a timer is for.
+// timerKind says which handler a timer runs.
 type timerKind uint8
 
 const (
 	deadlineTimer timerKind = iota
 	claimTimer
 	sealTimer
-	forgetTimer
+	expiryTimer
 	scheduleTimer
 	requeueTimer
 	memoryTimer
 )
 
-// timer is a note of what to look at; it may be out of date when it is due.
+// timer runs a handler when it is due. The state it was set for may have changed
+// by then, so each handler checks it.
 type timer struct {
 	due  time.Time
 	kind timerKind
 	key  job.Key
-	name string
-	n    uint64
+	name string // of the service, of a scheduleTimer
+	n    uint64 // ballot of a claimTimer, attempt of a sealTimer
 }
 
-// timers is a heap of timers, the next one first.
+// timers is a heap of timers with the earliest first.
 type timers []timer
 
 func (h timers) Len() int           { return len(h) }
@@ -50,7 +51,8 @@
 	heap.Push(h, t)
 }
 
-// Next returns when Tick has something to do.
+// Next returns the time at which Tick has to be called next. It reports false if
+// no timer is set.
 func (c *Core) Next() (due time.Time, ok bool) {
 	if len(c.timers) == 0 {
 		return time.Time{}, false
@@ -58,7 +60,7 @@
 	return c.timers[0].due, true
 }
 
-// Tick does what has become due.
+// Tick runs the timers that are due.
 func (c *Core) Tick(now time.Time) {
 	for len(c.timers) > 0 && !c.timers[0].due.After(now) {
 		c.fire(now, heap.Pop(&c.timers).(timer))
@@ -68,24 +70,24 @@
 func (c *Core) fire(now time.Time, t timer) {
 	switch t.kind {
 	case deadlineTimer:
-		c.deadlineDue(now, t.key)
+		c.onDeadline(now, t.key)
 	case claimTimer:
-		c.claimDue(now, t.key, t.n)
+		c.onClaim(now, t.key, t.n)
 	case sealTimer:
-		c.sealDue(now, t.n)
-	case forgetTimer:
-		c.forget(now, t.key)
+		c.onSeal(now, t.n)
+	case expiryTimer:
+		c.onExpiry(now, t.key)
 	case scheduleTimer:
 		c.schedule(now, c.service(t.name))
 	case requeueTimer:
-		c.requeueDue(now, t.key)
+		c.onRequeue(now, t.key)
 	case memoryTimer:
-		c.memoryDue(now, t.key)
+		c.onMemory(now, t.key)
 	}
 }
 
-// requeueDue puts a job that was set aside back into its queue.
-func (c *Core) requeueDue(now time.Time, k job.Key) {
+// onRequeue puts a parked or refused job back into its queue.
+func (c *Core) onRequeue(now time.Time, k job.Key) {
 	j := c.jobs[k]
 	if j == nil || j.answer != nil || j.claim != nil {
 		return
@@ -96,18 +98,18 @@
 	c.schedule(now, s)
 }
 
-func (c *Core) deadlineDue(now time.Time, k job.Key) {
+func (c *Core) onDeadline(now time.Time, k job.Key) {
 	j := c.jobs[k]
 	if j == nil || j.answer != nil || j.claim != nil || now.Before(j.deadline) {
 		return
 	}
-	c.dropQueued(now, j, j.over(now))
+	c.stopQueued(now, j, j.stopReason(now))
 }
 
-// forget drops an answer whose retention has ended. The timer may belong to an
-// earlier job of the same key.
-func (c *Core) forget(now time.Time, k job.Key) {
-	if j := c.jobs[k]; j != nil && j.answer != nil && !now.Before(j.keepUntil) {
+// onExpiry deletes an answer whose retention has ended. The timer may belong to
+// an earlier job of the same key.
+func (c *Core) onExpiry(now time.Time, k job.Key) {
+	if j := c.jobs[k]; j != nil && j.answer != nil && !now.Before(j.expiresAt) {
 		delete(c.jobs, k)
 	}
 }
