--- a/dispatch/callers_test.go
+++ b/dispatch/callers_test.go
@@ -7,21 +7,24 @@
 	"masticbay/job"
 )
 
-// caller is one submission on its way through the entries.
-type caller struct {
-	w     *world
-	spec  job.Spec
-	id    string
-	claim bool
-	moves int
-	until time.Time // the deadline
+// submission is one submission as it is routed through the entries.
+type submission struct {
+	w         *world
+	spec      job.Spec
+	id        string
+	mustClaim bool
+	redirects int
+	deadline  time.Time
 }
 
-// forwardLife is how long a forward may be on its way.
-const forwardLife = 3 * time.Second
+// forwardMaxAge is the age at which an entry no longer accepts a forwarded
+// submission.
+const forwardMaxAge = 3 * time.Second
 
-// route sends the submission to its home, or runs it here.
-func (s *caller) route(e *simEntry) {
+// route submits an idempotent job at e. It sends other jobs to the home of their
+// key, the first entry in the ranking for it, but passes e over if e may not run
+// such jobs.
+func (s *submission) route(e *simEntry) {
 	for _, p := range e.view.Registry().Rank(string(s.spec.Key)) {
 		if p.ID != e.id && !s.spec.Idempotent {
 			s.forward(e, s.w.entryByID(p.ID))
@@ -31,99 +34,101 @@
 			break
 		}
 	}
-	s.here(e, s.tell)
+	s.submitAt(e, s.recordAnswer)
 }
 
-// forward asks another entry for the answer; when that fails, e takes over and
-// ignores what may still come from there.
-func (s *caller) forward(e, p *simEntry) {
+// forward sends the submission to another entry. If that fails, e submits the job
+// itself with a claim and ignores a late answer of the other entry.
+func (s *submission) forward(e, p *simEntry) {
 	w := s.w
-	over := false
+	answered := false
 	takeOver := func() {
-		if over || e.dead {
+		if answered || e.dead {
 			return
 		}
-		over = true
-		s.claim = true
-		s.here(e, s.tell)
+		answered = true
+		s.mustClaim = true
+		s.submitAt(e, s.recordAnswer)
 	}
-	sent := w.now
+	sentAt := w.now
 	w.toEntry(p, func() {
-		if w.now.Sub(sent) > forwardLife {
+		if w.now.Sub(sentAt) > forwardMaxAge {
 			w.toEntry(e, takeOver, takeOver)
 			return
 		}
-		fwd := *s
-		fwd.claim = false
-		fwd.here(p, func(t told) {
+		forwarded := *s
+		forwarded.mustClaim = false
+		forwarded.submitAt(p, func(t givenAnswer) {
 			w.toEntry(e, func() {
-				if !over {
-					over = true
-					s.tell(t)
+				if !answered {
+					answered = true
+					s.recordAnswer(t)
 				}
 			}, takeOver)
 		})
 	}, takeOver)
 }
 
-// here submits to the Core of e.
-func (s *caller) here(e *simEntry, done func(told)) {
+// submitAt submits the job to the Core of e.
+func (s *submission) submitAt(e *simEntry, done func(givenAnswer)) {
 	w := s.w
-	s.spec.Deadline = s.until.Sub(w.now)
+	s.spec.Deadline = s.deadline.Sub(w.now)
 	if s.spec.Deadline <= 0 {
-		return // answered as unknown
+		return // the caller gets the answer unknown
 	}
-	claim := s.claim || s.spec.Resubmission
-	if !s.spec.Idempotent && !w.broken.introduced(e.view.MayRun(w.now)) {
-		return // refused: nothing of it ran
+	claim := s.mustClaim || s.spec.Resubmission
+	if !s.spec.Idempotent && !w.omitted.mayRun(e.view.MayRun(w.now)) {
+		return // refused, so no task ran
 	}
 	if !s.spec.Idempotent {
 		claim = claim || e.view.MustClaim(w.now, string(s.spec.Key))
 	}
-	t, err := e.core.Submit(w.now, &s.spec, dispatch.Admission{Submission: s.id, Claim: w.broken.claim(claim)})
+	t, err := e.core.Submit(w.now, &s.spec, dispatch.Admission{Submission: s.id, Claim: w.omitted.mustClaim(claim)})
 	w.tracef("%s: submit %s as %s claim %t -> %+v %v", e.id, s.spec.Key, s.id, claim, t, err)
 	if err != nil {
-		return // refused: nothing of it ran
+		return // refused, so no task ran
 	}
 	if !t.Attached {
-		w.keys[s.spec.Key].until = w.now.Add(s.spec.Deadline + worldWindow)
+		w.keys[s.spec.Key].resubmitUntil = w.now.Add(s.spec.Deadline + worldWindow)
 		e.instances[s.spec.Key]++
 	}
 	inst := instance{e.id, s.spec.Key, e.instances[s.spec.Key]}
 	if t.Answer != nil {
-		done(told{inst, *t.Answer, w.next()})
+		done(givenAnswer{inst, *t.Answer, w.nextSeq()})
 		return
 	}
 	e.waiters[s.spec.Key] = append(e.waiters[s.spec.Key], func(ans *job.Answer, moved string) {
 		if ans != nil {
-			done(told{inst, *ans, w.next()})
+			done(givenAnswer{inst, *ans, w.nextSeq()})
 			return
 		}
-		s.follow(e, moved, done)
+		s.followClaim(e, moved, done)
 	})
 }
 
-// maxMoves bounds how often a submission follows a claim.
-const maxMoves = 6
+// maxRedirects bounds how often a submission follows a claim to another entry.
+const maxRedirects = 6
 
-// follow asks the entry that holds the claim, or claims the job again.
-func (s *caller) follow(e *simEntry, holder string, done func(told)) {
+// followClaim forwards the submission to the entry that holds the claim, or
+// submits it at e with a new claim.
+func (s *submission) followClaim(e *simEntry, holder string, done func(givenAnswer)) {
 	w := s.w
-	s.moves++
-	if s.moves > maxMoves {
+	s.redirects++
+	if s.redirects > maxRedirects {
 		return
 	}
-	s.claim = true
+	s.mustClaim = true
 	p := w.entryByID(holder)
 	if p == nil || p.dead || w.r.IntN(3) == 0 {
-		s.here(e, done)
+		s.submitAt(e, done)
 		return
 	}
-	s.claim = false
+	s.mustClaim = false
 	s.forward(e, p)
 }
 
-func (s *caller) tell(t told) {
-	s.w.tracef("%s: told %s: %s %v %s", t.entry, s.id, t.key, t.answer.States, t.answer.Reason)
-	s.w.told = append(s.w.told, t)
+// recordAnswer takes the answer that the caller gets.
+func (s *submission) recordAnswer(t givenAnswer) {
+	s.w.tracef("%s: answers %s: %s %v %s", t.entry, s.id, t.key, t.answer.States, t.answer.Reason)
+	s.w.answers = append(s.w.answers, t)
 }
--- a/dispatch/calls_test.go
+++ b/dispatch/calls_test.go
@@ -11,7 +11,7 @@
 	"masticbay/wire"
 )
 
-// run carries a dispatch to its agent and the reply back.
+// run sends a dispatch to its agent and the reply back.
 func (w *world) run(e *simEntry, r dispatch.Run) {
 	args := r.Args
 	inst := instance{e.id, args.Dispatch.Task.Job, e.instances[args.Dispatch.Task.Job]}
@@ -27,11 +27,13 @@
 	w.toAgent(a, func() { w.admit(a, e, &args, inst, runningTask{reply: reply, lost: lost}) }, lost)
 }
 
+// admit puts a dispatch to the gate of an agent and starts the task if the gate
+// allows it.
 func (w *world) admit(a *simAgent, e *simEntry, args *wire.RunArgs, inst instance, t runningTask) {
-	d := w.broken.dispatch(a, args.Dispatch)
+	d := w.omitted.dispatch(a, args.Dispatch)
 	a.gate.Observe(d.Registry)
 	dec := a.gate.Dispatch(w.now, &d, a.lender.Free(e.id, args.Epoch))
-	dec = w.broken.decision(a, &d, dec)
+	dec = w.omitted.decision(a, &d, dec)
 	a.lender.Settle(e.id, args.Epoch, args.Demand, dec.Verdict == gate.Start)
 	w.tracef("%s: dispatch %s#%d attempt %d of %s ballot %v registry %d -> verdict %d %s", a.id, d.Task.Job, d.Task.Index, d.Attempt, e.id, d.Ballot, d.Registry, dec.Verdict, dec.Reason)
 	if dec.Verdict != gate.Start {
@@ -39,23 +41,23 @@
 		t.reply(wire.RunReply{Decision: dec, Status: w.status(a, e)})
 		return
 	}
-	w.starts[started{inst, d.Task.Rerun, d.Task.Index}]++
-	at := taskOf{d.Task.Job, d.Task.Index}
-	w.startsAt[at] = append(w.startsAt[at], w.next())
+	w.starts[startID{inst, d.Task.Rerun, d.Task.Index}]++
+	at := taskKey{d.Task.Job, d.Task.Index}
+	w.startSeqs[at] = append(w.startSeqs[at], w.nextSeq())
 	t.dispatch = d
 	a.running = append(a.running, t)
 	if a.gate.Running() > a.lender.Slots() {
-		w.fault("agent %s runs %d tasks in %d slots", a.id, a.gate.Running(), a.lender.Slots())
+		w.violationf("agent %s runs %d tasks in %d slots", a.id, a.gate.Running(), a.lender.Slots())
 	}
 }
 
-// next returns the next sequence number.
-func (w *world) next() int {
+// nextSeq returns the next sequence number of starts and answers.
+func (w *world) nextSeq() int {
 	w.seq++
 	return w.seq
 }
 
-// killAgent ends an agent; the calls that wait for its tasks break.
+// killAgent ends an agent. The calls that wait for its tasks fail.
 func (w *world) killAgent(a *simAgent) {
 	w.tracef("%s: dies", a.id)
 	a.dead = true
@@ -65,12 +67,12 @@
 	a.running = nil
 }
 
-// finish ends a running task of an agent.
-func (w *world) finish(a *simAgent, i int) {
+// finishTask ends a running task of an agent; one of 20 tasks fails.
+func (w *world) finishTask(a *simAgent, i int) {
 	w.actor = a.id
 	t := a.running[i]
 	a.running = slices.Delete(a.running, i, i+1)
-	rep := gate.Report{Task: t.dispatch.Task, Phase: gate.Succeeded, Result: result(t.dispatch.Task.Job, t.dispatch.Task.Index), Took: time.Second}
+	rep := gate.Report{Task: t.dispatch.Task, Phase: gate.Succeeded, Result: taskResult(t.dispatch.Task.Job, t.dispatch.Task.Index), Took: time.Second}
 	if w.r.IntN(20) == 0 {
 		rep.Phase, rep.Result, rep.Error = gate.Errored, nil, "failed"
 	}
@@ -81,12 +83,13 @@
 	}
 }
 
-func result(k job.Key, index int) []byte {
+func taskResult(k job.Key, index int) []byte {
 	return fmt.Appendf(nil, "%q", fmt.Sprintf("%s#%d", k, index))
 }
 
-// holder returns the agent that answers for id, as the entry sees it.
-func (w *world) holder(e *simEntry, id string) *simAgent {
+// recordHolder returns the agent that has the records of the agent id by what the
+// entry knows: its successor, or the agent itself.
+func (w *world) recordHolder(e *simEntry, id string) *simAgent {
 	if heir, ok := e.heirs[id]; ok {
 		return w.agentByID(heir)
 	}
@@ -98,12 +101,12 @@
 
 func (w *world) seal(e *simEntry, sent dispatch.SentSeal) {
 	s := sent.Seal
-	a := w.holder(e, s.Agent)
+	a := w.recordHolder(e, s.Agent)
 	if a == nil {
 		return
 	}
 	w.toAgent(a, func() {
-		decs := w.broken.seal(w, a, &s)
+		decs := w.omitted.seal(w, a, &s)
 		w.tracef("%s: seal of %s for %s: %+v -> %+v", a.id, e.id, s.Agent, s.Items, decs)
 		for i, dec := range decs {
 			if dec.Verdict == gate.Sealed && dec.Reason != gate.Repeated {
@@ -111,35 +114,35 @@
 			}
 		}
 		st := w.status(a, e)
-		w.toEntry(e, func() { e.core.Sealed(w.now, &sent, decs, &st) }, nothing)
-	}, nothing)
+		w.toEntry(e, func() { e.core.Sealed(w.now, &sent, decs, &st) }, noop)
+	}, noop)
 }
 
 func (w *world) claim(e *simEntry, cl gate.Claim) {
-	a := w.holder(e, cl.Agent)
+	a := w.recordHolder(e, cl.Agent)
 	if a == nil {
 		return
 	}
-	if w.broken.skipClaim(w, e, a, &cl) {
+	if w.omitted.skipClaim(w, e, a, &cl) {
 		return
 	}
 	w.toAgent(a, func() {
 		grants := a.gate.Claim(w.now, &cl)
 		w.tracef("%s: claim of %s for %s: %+v", a.id, e.id, cl.Agent, grants)
-		w.toEntry(e, func() { e.core.Granted(w.now, cl.Agent, grants) }, nothing)
-	}, nothing)
+		w.toEntry(e, func() { e.core.Granted(w.now, cl.Agent, grants) }, noop)
+	}, noop)
 }
 
 func (w *world) inquire(e *simEntry, q dispatch.SentInquiry) {
 	p := w.entryByID(q.To)
-	if w.broken.skipInquiry(w, e, p, &q) {
+	if w.omitted.skipInquiry(w, e, p, &q) {
 		return
 	}
 	w.toEntry(p, func() {
 		ts := p.core.Testify(w.now, &q.Inquiry)
 		w.tracef("%s: inquiry of %s registry %d: %+v", p.id, e.id, q.Inquiry.Registry, ts)
-		w.toEntry(e, func() { e.core.Testified(w.now, p.id, ts) }, nothing)
-	}, nothing)
+		w.toEntry(e, func() { e.core.Testified(w.now, p.id, ts) }, noop)
+	}, noop)
 }
 
 func (w *world) ask(e *simEntry, ask dispatch.Ask) {
@@ -152,13 +155,14 @@
 	}, failed)
 }
 
-// tracef prints what happens when a single schedule is run with -show.
+// tracef prints the events of the schedules under the flag -show.
 func (w *world) tracef(format string, args ...any) {
 	if *show {
 		fmt.Printf("%8.3f "+format+"\n", append([]any{w.now.Sub(time.Unix(1_000_000, 0)).Seconds()}, args...)...)
 	}
 }
 
-func (w *world) fault(format string, args ...any) {
-	w.wrong = append(w.wrong, fmt.Sprintf(format, args...))
+// violationf records that a guarantee does not hold.
+func (w *world) violationf(format string, args ...any) {
+	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
--- a/dispatch/events_test.go
+++ b/dispatch/events_test.go
@@ -9,13 +9,13 @@
 	"masticbay/member"
 )
 
-// step does one random thing.
+// step advances the clock and performs one random event.
 func (w *world) step() {
 	w.now = w.now.Add(time.Duration(w.r.IntN(30)) * time.Millisecond)
 	if w.r.IntN(60) == 0 {
 		w.now = w.now.Add(time.Duration(w.r.IntN(4000)) * time.Millisecond)
 	}
-	if w.long && w.r.IntN(40) == 0 {
+	if w.lastsLong && w.r.IntN(40) == 0 {
 		w.elapse(w.r.IntN(20))
 	}
 	w.tick()
@@ -23,30 +23,31 @@
 	a := w.agents[w.r.IntN(len(w.agents))]
 	switch k := w.r.Float64(); {
 	case k < 0.55:
-		w.postStep()
+		w.deliverRandom()
 	case k < 0.65:
-		w.finishSome(a)
+		w.finishRandom(a)
 	case k < 0.72:
-		w.submitSome(e)
+		w.submitRandom(e)
 	case k < 0.80:
 		w.announce(a, e)
 	case k < 0.88:
-		w.peer(e, w.entries[w.r.IntN(len(w.entries))])
+		w.exchangeState(e, w.entries[w.r.IntN(len(w.entries))])
 	case k < 0.93:
 		w.writeRegistry(e)
 	case k < 0.95:
 		w.readRegistry(e)
 	case k < 0.96:
-		w.cancelSome(e)
+		w.cancelRandom(e)
 	default:
-		w.disturb(e, a)
+		w.injectFault(e, a)
 	}
-	w.act()
+	w.performActions()
 }
 
+// tick runs the timers and the membership checks of all entries.
 func (w *world) tick() {
 	for _, e := range w.entries {
-		if !w.up(e) {
+		if !w.entryUp(e) {
 			continue
 		}
 		e.core.Tick(w.now)
@@ -56,35 +57,35 @@
 			if rm, ok := c.(member.RemoveAgent); ok {
 				e.core.AgentGone(w.now, rm.ID, false)
 			}
-			e.plan(c)
+			e.planChange(c)
 		}
 	}
-	w.act()
+	w.performActions()
 }
 
-func (e *simEntry) plan(c member.Change) {
-	if !slices.Contains(e.pending, c) {
-		e.pending = append(e.pending, c)
+func (e *simEntry) planChange(c member.Change) {
+	if !slices.Contains(e.plannedChanges, c) {
+		e.plannedChanges = append(e.plannedChanges, c)
 	}
 }
 
-// disturb makes one of the things fail that can fail.
-func (w *world) disturb(e *simEntry, a *simAgent) {
+// injectFault causes one random fault or change of membership.
+func (w *world) injectFault(e *simEntry, a *simAgent) {
 	kinds := 12
-	if w.long {
+	if w.lastsLong {
 		kinds++
 	}
 	switch w.r.IntN(kinds) {
 	case 0:
-		if w.living() > 1 {
+		if w.liveEntries() > 1 {
 			w.killEntry(e)
 		}
 	case 1:
 		w.killAgent(a)
 	case 2:
-		e.paused = w.now.Add(time.Duration(w.r.IntN(30_000)) * time.Millisecond)
+		e.pausedUntil = w.now.Add(time.Duration(w.r.IntN(30_000)) * time.Millisecond)
 	case 3:
-		a.paused = w.now.Add(time.Duration(w.r.IntN(30_000)) * time.Millisecond)
+		a.pausedUntil = w.now.Add(time.Duration(w.r.IntN(30_000)) * time.Millisecond)
 	case 4:
 		w.storeUp = !w.storeUp
 	case 5:
@@ -96,19 +97,19 @@
 			w.addAgent()
 		}
 	case 7, 8:
-		w.retire(a)
+		w.stopAgent(a)
 	case 9:
-		w.leaveEntry(e)
+		w.stopEntry(e)
 	case 10:
 		e.core.AgentDown(a.id)
 	case 11:
 		a.lender.SetSlots(w.r.IntN(4))
 	case 12:
-		w.part()
+		w.startPartition()
 	}
 }
 
-func (w *world) living() (n int) {
+func (w *world) liveEntries() (n int) {
 	for _, e := range w.entries {
 		if !e.dead {
 			n++
@@ -123,9 +124,9 @@
 	e.waiters = nil
 }
 
-// leaveEntry is the planned stop of an entry without open jobs.
-func (w *world) leaveEntry(e *simEntry) {
-	if e.dead || w.living() < 2 || e.core.Open() > 0 || len(e.waiters) > 0 {
+// stopEntry stops an entry as planned, if it has no open jobs.
+func (w *world) stopEntry(e *simEntry) {
+	if e.dead || w.liveEntries() < 2 || e.core.Open() > 0 || len(e.waiters) > 0 {
 		return
 	}
 	if !w.handOver(e) {
@@ -133,18 +134,19 @@
 		return
 	}
 	for _, p := range w.entries {
-		p.plan(member.RemoveEntry{ID: e.id})
+		p.planChange(member.RemoveEntry{ID: e.id})
 	}
 	w.killEntry(e)
 }
 
-// handOver gives all that an entry remembers to its peers. It may fail halfway.
+// handOver gives the records of an entry to its peers. It reports whether all of
+// them arrived.
 func (w *world) handOver(e *simEntry) bool {
 	after, _ := e.view.Registry().With([]member.Change{member.RemoveEntry{ID: e.id}})
 	for _, r := range e.core.Export(w.now) {
 		home, _ := after.Home(string(r.Key))
 		p := w.entryByID(home.ID)
-		if p == nil || !w.up(p) || w.split.cut(w.now, e.id, p.id) || w.r.Float64() < w.loss {
+		if p == nil || !w.entryUp(p) || w.partition.blocks(w.now, e.id, p.id) || w.r.Float64() < w.lossRate {
 			return false
 		}
 		p.core.Import(w.now, &r)
@@ -152,12 +154,13 @@
 	return true
 }
 
-// retire is the planned stop of an agent; it goes on when nothing runs there.
-func (w *world) retire(a *simAgent) {
-	a.retiring = true
+// stopAgent begins the planned stop of an agent, and completes it in a later call
+// when no task runs there any more.
+func (w *world) stopAgent(a *simAgent) {
+	a.stopping = true
 	a.gate.Drain(true)
 	h, ok := a.gate.Export(w.now)
-	if !ok || a.dead || !w.runs(a) {
+	if !ok || a.dead || !w.agentUp(a) {
 		return
 	}
 	a.dead = true
@@ -165,7 +168,7 @@
 	w.tracef("%s: leaves", a.id)
 	heir := ""
 	for _, p := range w.agents {
-		if p != a && w.runs(p) && !w.split.cut(w.now, a.id, p.id) && !p.retiring && p.gate.Joined() > 0 && w.r.IntN(4) > 0 {
+		if p != a && w.agentUp(p) && !w.partition.blocks(w.now, a.id, p.id) && !p.stopping && p.gate.Joined() > 0 && w.r.IntN(4) > 0 {
 			p.gate.Import(w.now, &h)
 			heir = p.id
 			break
@@ -179,21 +182,21 @@
 			e.watchdog.Ended(w.now, a.id)
 			e.core.AgentGone(w.now, a.id, heir != "")
 			if heir != "" {
-				e.plan(member.RemoveAgent{ID: a.id, Heir: heir})
+				e.planChange(member.RemoveAgent{ID: a.id, Heir: heir})
 			}
-		}, nothing)
+		}, noop)
 	}
 }
 
-func (w *world) finishSome(a *simAgent) {
-	if w.runs(a) && len(a.running) > 0 {
-		w.finish(a, w.r.IntN(len(a.running)))
+func (w *world) finishRandom(a *simAgent) {
+	if w.agentUp(a) && len(a.running) > 0 {
+		w.finishTask(a, w.r.IntN(len(a.running)))
 	}
 }
 
 // announce introduces an agent to an entry.
 func (w *world) announce(a *simAgent, e *simEntry) {
-	if !w.runs(a) {
+	if !w.agentUp(a) {
 		return
 	}
 	w.actor = a.id
@@ -204,11 +207,11 @@
 		e.core.AgentUp(w.now, dispatch.AgentInfo{ID: a.id, Service: service}, &st)
 		reg := e.view.Registry()
 		listed, ok := reg.Agent(a.id)
-		if !ok && !a.retiring {
-			e.plan(member.AddAgent{Agent: member.Agent{ID: a.id, Service: service}})
+		if !ok && !a.stopping {
+			e.planChange(member.AddAgent{Agent: member.Agent{ID: a.id, Service: service}})
 		}
 		if listed.Suspended {
-			e.plan(member.SuspendAgent{ID: a.id, On: false})
+			e.planChange(member.SuspendAgent{ID: a.id, On: false})
 		}
 		rev := reg.Revision
 		w.toAgent(a, func() {
@@ -216,71 +219,73 @@
 			if listed.Joined > 0 {
 				a.gate.List(listed.Joined)
 			}
-		}, nothing)
-	}, nothing)
+		}, noop)
+	}, noop)
 }
 
-// peer lets one entry exchange news with another.
-func (w *world) peer(e, p *simEntry) {
-	if e == p || !w.up(e) {
+// exchangeState lets one entry exchange its registry with another.
+func (w *world) exchangeState(e, p *simEntry) {
+	if e == p || !w.entryUp(e) {
 		return
 	}
 	w.actor = e.id
-	mine, fresh := *e.view.Registry(), w.now.Add(-e.view.Age(w.now))
+	mine, asOf := *e.view.Registry(), w.now.Add(-e.view.Age(w.now))
 	w.toEntry(p, func() {
-		w.learn(p, mine)
-		p.view.Refresh(fresh)
+		w.takeRegistry(p, mine)
+		p.view.Refresh(asOf)
 		p.view.Confirm(w.now, e.id, mine.EntriesHash())
-		theirs, fresh := *p.view.Registry(), w.now.Add(-p.view.Age(w.now))
+		theirs, asOf := *p.view.Registry(), w.now.Add(-p.view.Age(w.now))
 		w.toEntry(e, func() {
-			w.learn(e, theirs)
-			e.view.Refresh(fresh)
+			w.takeRegistry(e, theirs)
+			e.view.Refresh(asOf)
 			e.view.Confirm(w.now, p.id, theirs.EntriesHash())
-		}, nothing)
-	}, nothing)
+		}, noop)
+	}, noop)
 }
 
-func (w *world) learn(e *simEntry, r member.Registry) {
+// takeRegistry updates the registry of an entry if r is newer.
+func (w *world) takeRegistry(e *simEntry, r member.Registry) {
 	if !e.view.Update(w.now, r) {
 		return
 	}
 	w.tracef("%s: registry %d with %d entries, agents %v", e.id, r.Revision, len(r.Entries), r.Agents)
 	e.core.SetRegistry(dispatch.NewRegistry(e.id, &r))
 	if _, listed := r.Entry(e.id); !listed && !e.dead {
-		e.plan(member.AddEntry{Entry: member.Entry{ID: e.id}})
+		e.planChange(member.AddEntry{Entry: member.Entry{ID: e.id}})
 	}
 }
 
-// writeRegistry lets an entry write its planned changes; the answer of the
+// writeRegistry lets an entry write its planned changes. The answer of the
 // key-value service may be lost.
 func (w *world) writeRegistry(e *simEntry) {
-	if !w.reachesStore(e) || len(e.pending) == 0 {
+	if !w.reachesStore(e) || len(e.plannedChanges) == 0 {
 		return
 	}
-	next, changed := w.stored.With(e.pending)
+	next, changed := w.storedRegistry.With(e.plannedChanges)
 	if changed {
-		w.stored = next
+		w.storedRegistry = next
 	}
-	if w.r.Float64() < w.loss {
+	if w.r.Float64() < w.lossRate {
 		return
 	}
-	e.pending = nil
-	w.learn(e, w.stored)
+	e.plannedChanges = nil
+	w.takeRegistry(e, w.storedRegistry)
 	e.view.Refresh(w.now)
 }
 
 func (w *world) readRegistry(e *simEntry) {
 	if w.reachesStore(e) {
-		w.learn(e, w.stored)
+		w.takeRegistry(e, w.storedRegistry)
 		e.view.Refresh(w.now)
 	}
 }
 
 var keyNames = []job.Key{"t/a", "t/b", "t/c", "t/i"}
 
-// submitSome submits one of a few keys, so that submissions meet.
-func (w *world) submitSome(e *simEntry) {
-	if !w.up(e) {
+// submitRandom submits a job under one of a few keys, so that submissions of the
+// same job overlap.
+func (w *world) submitRandom(e *simEntry) {
+	if !w.entryUp(e) {
 		return
 	}
 	k := keyNames[w.r.IntN(len(keyNames))]
@@ -289,21 +294,21 @@
 		ks = &keyState{idempotent: k == "t/i", tasks: 1 + w.r.IntN(4)}
 		w.keys[k] = ks
 	}
-	late := !ks.until.IsZero() && w.now.After(ks.until)
-	if ks.submitted >= 4 || late {
-		return // a key may be resubmitted until a window after its deadline
+	late := !ks.resubmitUntil.IsZero() && w.now.After(ks.resubmitUntil)
+	if ks.submissions >= 4 || late {
+		return // a key may be resubmitted only until a window after its deadline
 	}
 	spec := job.Spec{Key: k, Team: "t", Service: service, Idempotent: ks.idempotent, Deadline: 6 * time.Second}
 	spec.Tasks = make([]job.Task, ks.tasks)
-	spec.Resubmission = ks.submitted > 0 && (ks.idempotent || w.r.IntN(2) == 0)
-	ks.submitted++
+	spec.Resubmission = ks.submissions > 0 && (ks.idempotent || w.r.IntN(2) == 0)
+	ks.submissions++
 	w.actor = e.id
-	s := &caller{w: w, spec: spec, id: w.id("s"), until: w.now.Add(spec.Deadline)}
+	s := &submission{w: w, spec: spec, id: w.newID("s"), deadline: w.now.Add(spec.Deadline)}
 	s.route(e)
 }
 
-func (w *world) cancelSome(e *simEntry) {
-	if w.up(e) {
+func (w *world) cancelRandom(e *simEntry) {
+	if w.entryUp(e) {
 		k := keyNames[w.r.IntN(len(keyNames))]
 		w.tracef("%s: cancel %s", e.id, k)
 		e.core.Cancel(w.now, k)
--- a/dispatch/world_test.go
+++ b/dispatch/world_test.go
@@ -14,12 +14,13 @@
 	"masticbay/wire"
 )
 
-// The times of a world are short against the window, as in production.
+// As in production, all other times of a world are short compared with the
+// window and the retention.
 const (
-	worldWindow  = 10 * time.Second
-	retention    = 3 * worldWindow
-	worldContact = 1500 * time.Millisecond
-	service      = "pickup"
+	worldWindow         = 10 * time.Second
+	retention           = 3 * worldWindow
+	worldContactTimeout = 1500 * time.Millisecond
+	service             = "pickup"
 )
 
 var worldConfig = dispatch.Config{
@@ -28,93 +29,98 @@
 	StampLife: 4 * time.Second, AskThreshold: 1, AskPause: 20 * time.Millisecond, MaxWaiting: 1000,
 }
 
-// world runs the decision code of several entries and agents, without I/O, in
-// steps that a seed chooses: messages are delivered late, twice, in any order
-// or not at all, and members pause, die, join and leave.
+// world simulates several entries and agents with their decision code, without
+// I/O, in steps that a seed chooses: messages are delivered late, twice, in any
+// order or not at all, and members pause, die, join and leave.
 type world struct {
-	r        *rand.Rand
-	now      time.Time
-	stored   member.Registry
-	storeUp  bool
-	entries  []*simEntry
-	agents   []*simAgent
-	mail     []letter
-	loss     float64
-	actor    string // who sends what is sent now
-	split    split
-	long     bool // the world lasts for several retentions
-	broken   rule
-	nextID   int
-	keys     map[job.Key]*keyState
-	starts   map[started]int
-	startsAt map[taskOf][]int // sequence numbers
-	seq      int              // orders starts and answers
-	told     []told
-	refusals map[gate.Reason]int
-	wrong    []string
+	r              *rand.Rand
+	now            time.Time
+	storedRegistry member.Registry
+	storeUp        bool
+	entries        []*simEntry
+	agents         []*simAgent
+	messages       []message
+	lossRate       float64
+	actor          string // member that sends the next messages
+	partition      partition
+	lastsLong      bool // the schedule spans several retentions
+	omitted        omittedRule
+	nextID         int
+	keys           map[job.Key]*keyState
+	starts         map[startID]int
+	startSeqs      map[taskKey][]int // sequence numbers
+	seq            int               // last sequence number of starts and answers
+	answers        []givenAnswer
+	refusals       map[gate.Reason]int
+	violations     []string
 }
 
-// letter is a message under way. Lost is called when the sender gives up.
-type letter struct {
-	to      func() bool // whether the receiver can take it now
-	deliver func()
-	lost    func()
+// message is a message in transit.
+type message struct {
+	canDeliver func() bool // reports whether the receiver can take it now
+	deliver    func()
+	lost       func() // called when the sender gives up
 }
 
+// keyState holds what was submitted under a key.
 type keyState struct {
-	idempotent bool
-	submitted  int
-	until      time.Time // of resubmissions
-	tasks      int
+	idempotent    bool
+	submissions   int
+	resubmitUntil time.Time
+	tasks         int
 }
 
-// instance is one job in one entry's Core.
+// instance is the n-th job of a key in the Core of one entry.
 type instance struct {
 	entry string
 	key   job.Key
 	n     int
 }
 
-type started struct {
+// startID identifies the starts of a task by one instance of a job.
+type startID struct {
 	instance
 	rerun string
 	index int
 }
 
-type taskOf struct {
+// taskKey identifies a task of a key, over all instances of the job.
+type taskKey struct {
 	key   job.Key
 	index int
 }
 
-// told is an answer, and when the Core gave it: on its way to the caller it may
-// cross with a later submission of the same key.
-type told struct {
+// givenAnswer is an answer with the sequence number at which the Core gave it: a
+// later submission of the same key may be made before it reaches the caller.
+type givenAnswer struct {
 	instance
 	answer job.Answer
-	at     int // sequence number
+	seq    int
 }
 
+// simEntry is a simulated entry.
 type simEntry struct {
-	id        string
-	core      *dispatch.Core
-	view      *member.View
-	watchdog  *member.Watchdog
-	dead      bool
-	paused    time.Time // until then
-	pending   []member.Change
-	heirs     map[string]string
-	waiters   map[job.Key][]func(*job.Answer, string)
-	instances map[job.Key]int
+	id             string
+	core           *dispatch.Core
+	view           *member.View
+	watchdog       *member.Watchdog
+	dead           bool
+	pausedUntil    time.Time
+	plannedChanges []member.Change
+	heirs          map[string]string
+	waiters        map[job.Key][]func(*job.Answer, string)
+	instances      map[job.Key]int
 }
 
+// simAgent is a simulated agent.
 type simAgent struct {
-	id       string
-	gate     *gate.Gate
-	lender   *credit.Lender
-	dead     bool
-	retiring bool
-	paused   time.Time
-	running  []runningTask
+	id          string
+	gate        *gate.Gate
+	lender      *credit.Lender
+	dead        bool
+	stopping    bool
+	pausedUntil time.Time
+	running     []runningTask
 }
 
 type runningTask struct {
@@ -123,53 +129,53 @@
 	lost     func()
 }
 
-func newWorld(seed uint64, broken rule) *world {
+func newWorld(seed uint64, omitted omittedRule) *world {
 	w := &world{
-		r:        rand.New(rand.NewPCG(seed, 7)),
-		now:      time.Unix(1_000_000, 0),
-		storeUp:  true,
-		loss:     0.08,
-		long:     seed%4 == 2,
-		broken:   broken,
-		keys:     make(map[job.Key]*keyState),
-		starts:   make(map[started]int),
-		startsAt: make(map[taskOf][]int),
-		refusals: make(map[gate.Reason]int),
+		r:         rand.New(rand.NewPCG(seed, 7)),
+		now:       time.Unix(1_000_000, 0),
+		storeUp:   true,
+		lossRate:  0.08,
+		lastsLong: seed%4 == 2,
+		omitted:   omitted,
+		keys:      make(map[job.Key]*keyState),
+		starts:    make(map[startID]int),
+		startSeqs: make(map[taskKey][]int),
+		refusals:  make(map[gate.Reason]int),
 	}
 	for range 2 {
 		w.addEntry()
 		w.addAgent()
 	}
-	// Half of the worlds begin long after the start, in the settled state.
+	// Half of the schedules begin long after a quiet start.
 	if w.r.IntN(2) == 0 {
-		w.settle()
+		w.runQuietStart()
 	}
 	return w
 }
 
-func (w *world) id(kind string) string {
+func (w *world) newID(kind string) string {
 	w.nextID++
 	return fmt.Sprintf("%s%d", kind, w.nextID)
 }
 
 func (w *world) addEntry() *simEntry {
-	id := w.id("e")
+	id := w.newID("e")
 	e := &simEntry{
 		id:        id,
 		core:      dispatch.New(id, worldConfig),
-		view:      member.NewView(id, retention, worldContact, w.now),
+		view:      member.NewView(id, retention, worldContactTimeout, w.now),
 		watchdog:  member.NewWatchdog(id, retention),
 		heirs:     make(map[string]string),
 		waiters:   make(map[job.Key][]func(*job.Answer, string)),
 		instances: make(map[job.Key]int),
 	}
-	e.pending = append(e.pending, member.AddEntry{Entry: member.Entry{ID: id}})
+	e.plannedChanges = append(e.plannedChanges, member.AddEntry{Entry: member.Entry{ID: id}})
 	w.entries = append(w.entries, e)
 	return e
 }
 
 func (w *world) addAgent() *simAgent {
-	id := w.id("a")
+	id := w.newID("a")
 	a := &simAgent{
 		id:     id,
 		gate:   gate.New(id, gate.Config{Window: retention, StampLife: 5 * time.Second}, w.now),
@@ -180,10 +186,11 @@
 	return a
 }
 
-// settle brings the world into the state long after a quiet start.
-func (w *world) settle() {
-	loss := w.loss
-	w.loss = 0
+// runQuietStart runs the world without faults for longer than two retentions, so
+// that nothing depends on its start any more.
+func (w *world) runQuietStart() {
+	loss := w.lossRate
+	w.lossRate = 0
 	for range 3 {
 		w.gossip()
 	}
@@ -191,10 +198,11 @@
 		w.now = w.now.Add(time.Second)
 		w.gossip()
 	}
-	w.loss = loss
+	w.lossRate = loss
 }
 
-// gossip lets everyone talk to everyone.
+// gossip lets all entries write and read the registry and exchange state with one
+// another, and lets all agents announce themselves to all entries.
 func (w *world) gossip() {
 	for _, e := range w.entries {
 		w.writeRegistry(e)
@@ -202,7 +210,7 @@
 	for _, e := range w.entries {
 		w.readRegistry(e)
 		for _, p := range w.entries {
-			w.peer(e, p)
+			w.exchangeState(e, p)
 		}
 		for _, a := range w.agents {
 			w.announce(a, e)
@@ -213,80 +221,79 @@
 
 func (w *world) deliverAll() {
 	for range 10_000 {
-		if !w.deliverSome() {
+		if !w.deliverNext() {
 			return
 		}
 	}
 }
 
-func (w *world) deliverSome() bool {
-	for i := range w.mail {
-		if w.mail[i].to() {
-			l := w.take(i)
-			l.deliver()
-			w.act()
+func (w *world) deliverNext() bool {
+	for i := range w.messages {
+		if w.messages[i].canDeliver() {
+			m := w.removeMessage(i)
+			m.deliver()
+			w.performActions()
 			return true
 		}
 	}
 	return false
 }
 
-func (w *world) take(i int) letter {
-	l := w.mail[i]
-	w.mail = slices.Delete(w.mail, i, i+1)
-	return l
+func (w *world) removeMessage(i int) message {
+	m := w.messages[i]
+	w.messages = slices.Delete(w.messages, i, i+1)
+	return m
 }
 
-func (w *world) up(e *simEntry) bool   { return !e.dead && !e.paused.After(w.now) }
-func (w *world) runs(a *simAgent) bool { return !a.dead && !a.paused.After(w.now) }
+func (w *world) entryUp(e *simEntry) bool { return !e.dead && !e.pausedUntil.After(w.now) }
+func (w *world) agentUp(a *simAgent) bool { return !a.dead && !a.pausedUntil.After(w.now) }
 
-// send puts a message from the current actor under way; a receiver that is dead
-// never takes it.
-func (w *world) send(to string, up func() bool, deliver, lost func()) {
+// send sends a message from the current actor. A dead receiver never takes it.
+func (w *world) send(to string, isUp func() bool, deliver, lost func()) {
 	from := w.actor
-	w.mail = append(w.mail, letter{
-		to:      func() bool { return up() && !w.split.cut(w.now, from, to) },
-		deliver: func() { w.actor = to; deliver() },
-		lost:    func() { w.actor = from; lost() },
+	w.messages = append(w.messages, message{
+		canDeliver: func() bool { return isUp() && !w.partition.blocks(w.now, from, to) },
+		deliver:    func() { w.actor = to; deliver() },
+		lost:       func() { w.actor = from; lost() },
 	})
 }
 
 func (w *world) toEntry(e *simEntry, deliver, lost func()) {
-	w.send(e.id, func() bool { return w.up(e) }, deliver, lost)
+	w.send(e.id, func() bool { return w.entryUp(e) }, deliver, lost)
 }
 
 func (w *world) toAgent(a *simAgent, deliver, lost func()) {
-	w.send(a.id, func() bool { return w.runs(a) }, deliver, lost)
+	w.send(a.id, func() bool { return w.agentUp(a) }, deliver, lost)
 }
 
-func nothing() {}
+func noop() {}
 
-// postStep moves one message: mostly it arrives, sometimes it is lost, comes
-// twice, or comes after its sender has given up.
-func (w *world) postStep() {
-	if len(w.mail) == 0 {
+// deliverRandom handles one random message. Most messages arrive; some are lost,
+// arrive twice, or arrive after their sender has given up.
+func (w *world) deliverRandom() {
+	if len(w.messages) == 0 {
 		return
 	}
-	i := w.r.IntN(len(w.mail))
-	l := w.mail[i]
+	i := w.r.IntN(len(w.messages))
+	m := w.messages[i]
 	k := w.r.Float64()
 	switch {
-	case k < w.loss:
-		w.take(i)
-		l.lost()
-	case k < 1.3*w.loss && l.to():
-		l.deliver() // and once more later
-	case k < 2*w.loss:
-		l.lost() // given up by the sender, but still under way
-		w.mail[i].lost = nothing
-	case l.to():
-		w.take(i)
-		l.deliver()
+	case k < w.lossRate:
+		w.removeMessage(i)
+		m.lost()
+	case k < 1.3*w.lossRate && m.canDeliver():
+		m.deliver() // it stays in transit and arrives once more
+	case k < 2*w.lossRate:
+		m.lost() // the sender gives up, but the message stays in transit
+		w.messages[i].lost = noop
+	case m.canDeliver():
+		w.removeMessage(i)
+		m.deliver()
 	case w.r.IntN(4) == 0:
-		w.take(i)
-		l.lost()
+		w.removeMessage(i)
+		m.lost()
 	}
-	w.act()
+	w.performActions()
 }
 
 func (w *world) entryByID(id string) *simEntry {
@@ -307,8 +314,8 @@
 	return nil
 }
 
-// act carries out what the Cores decided.
-func (w *world) act() {
+// performActions carries out the actions of all Cores until none is left.
+func (w *world) performActions() {
 	for _, e := range w.entries {
 		for !e.dead {
 			acts := e.core.Take()
@@ -319,6 +326,7 @@
 	}
 }
 
+// perform carries out the actions of one Core and reports whether there were any.
 func (w *world) perform(e *simEntry, acts *dispatch.Actions) bool {
 	w.actor = e.id
 	for i := range acts.Runs {
@@ -337,24 +345,26 @@
 		w.ask(e, ask)
 	}
 	for i := range acts.Answers {
-		w.wake(e, acts.Answers[i].Key, &acts.Answers[i], "")
+		w.answerWaiters(e, acts.Answers[i].Key, &acts.Answers[i], "")
 	}
 	for _, r := range acts.Redirects {
-		w.wake(e, r.Key, nil, r.Holder)
+		w.answerWaiters(e, r.Key, nil, r.Holder)
 	}
 	return len(acts.Runs)+len(acts.Seals)+len(acts.Claims)+len(acts.Inquiries)+len(acts.Asks)+len(acts.Answers)+len(acts.Redirects) > 0
 }
 
-func (w *world) wake(e *simEntry, k job.Key, ans *job.Answer, moved string) {
-	chans := e.waiters[k]
+// answerWaiters gives the waiting submissions of a job its answer, or the entry
+// to which it has moved.
+func (w *world) answerWaiters(e *simEntry, k job.Key, ans *job.Answer, moved string) {
+	waiters := e.waiters[k]
 	delete(e.waiters, k)
-	for _, f := range chans {
-		f(ans, moved)
+	for _, answer := range waiters {
+		answer(ans, moved)
 	}
 }
 
 func (w *world) status(a *simAgent, e *simEntry) wire.Status {
-	return w.broken.status(wire.Status{
+	return w.omitted.status(wire.Status{
 		Agent: a.id, Stamp: a.gate.Stamp(w.now), Offer: a.lender.Offer(e.id), Listed: a.gate.Joined(),
 		Young: a.gate.Young(w.now), Draining: a.gate.Draining(), Slots: a.lender.Slots(),
 		Running: a.gate.Running(), Idle: a.lender.Idle(e.id), Registry: a.gate.Registry(),
