--- a/dispatch/callers_test.go
+++ b/dispatch/callers_test.go
@@ -97,12 +97,12 @@
 		done(givenAnswer{inst, *t.Answer, w.nextSeq()})
 		return
 	}
-	e.waiters[s.spec.Key] = append(e.waiters[s.spec.Key], func(ans *job.Answer, moved string) {
+	e.waiters[s.spec.Key] = append(e.waiters[s.spec.Key], func(ans *job.Answer, holder string) {
 		if ans != nil {
 			done(givenAnswer{inst, *ans, w.nextSeq()})
 			return
 		}
-		s.followClaim(e, moved, done)
+		s.followClaim(e, holder, done)
 	})
 }
 
--- a/dispatch/calls_test.go
+++ b/dispatch/calls_test.go
@@ -42,8 +42,8 @@
 		return
 	}
 	w.starts[startID{inst, d.Task.Rerun, d.Task.Index}]++
-	at := taskKey{d.Task.Job, d.Task.Index}
-	w.startSeqs[at] = append(w.startSeqs[at], w.nextSeq())
+	key := taskKey{d.Task.Job, d.Task.Index}
+	w.startSeqs[key] = append(w.startSeqs[key], w.nextSeq())
 	t.dispatch = d
 	a.running = append(a.running, t)
 	if a.gate.Running() > a.lender.Slots() {
--- a/dispatch/promises_test.go
+++ b/dispatch/promises_test.go
@@ -86,9 +86,9 @@
 			w.violationf("task %d of %s (instance %s/%d rerun %q) started %d times", s.index, s.key, s.entry, s.n, s.rerun, n)
 		}
 	}
-	for t, at := range w.startSeqs {
-		if len(at) > 1 && !w.keys[t.key].idempotent {
-			w.violationf("task %d of %s started %d times", t.index, t.key, len(at))
+	for t, seqs := range w.startSeqs {
+		if len(seqs) > 1 && !w.keys[t.key].idempotent {
+			w.violationf("task %d of %s started %d times", t.index, t.key, len(seqs))
 		}
 	}
 	for i := range w.answers {
@@ -106,38 +106,39 @@
 	}
 }
 
-func (w *world) checkAnswer(t *givenAnswer) {
-	a := &t.answer
-	if a.Key != t.key {
-		w.violationf("%s was given the answer of %s", t.key, a.Key)
+// checkAnswer checks an answer against the starts of its tasks.
+func (w *world) checkAnswer(given *givenAnswer) {
+	ans := &given.answer
+	if ans.Key != given.key {
+		w.violationf("%s was given the answer of %s", given.key, ans.Key)
 	}
-	if a.Status == job.Complete {
-		w.checkComplete(t)
+	if ans.Status == job.Complete {
+		w.checkComplete(given)
 		return
 	}
-	if len(a.Results) > 0 || a.Status != job.Broken {
-		w.violationf("%s has status %s with %d results", t.key, a.Status, len(a.Results))
+	if len(ans.Results) > 0 || ans.Status != job.Broken {
+		w.violationf("%s has status %s with %d results", given.key, ans.Status, len(ans.Results))
 	}
-	for i, s := range a.States {
-		if s == job.NotRun && w.hadRun(t, i) {
-			w.violationf("task %d of %s had run, but %s answered notRun", i, t.key, t.entry)
+	for i, s := range ans.States {
+		if s == job.NotRun && w.hadRun(given, i) {
+			w.violationf("task %d of %s had run, but %s answered notRun", i, given.key, given.entry)
 		}
 		if !s.Final() {
-			w.violationf("task %d of %s is %s in an answer", i, t.key, s)
+			w.violationf("task %d of %s is %s in an answer", i, given.key, s)
 		}
 	}
 }
 
-func (w *world) checkComplete(t *givenAnswer) {
-	if len(t.answer.Results) != w.keys[t.key].tasks {
-		w.violationf("%s is complete with %d of %d results", t.key, len(t.answer.Results), w.keys[t.key].tasks)
+func (w *world) checkComplete(given *givenAnswer) {
+	if len(given.answer.Results) != w.keys[given.key].tasks {
+		w.violationf("%s is complete with %d of %d results", given.key, len(given.answer.Results), w.keys[given.key].tasks)
 	}
-	for i, r := range t.answer.Results {
-		if !bytes.Equal(r, taskResult(t.key, i)) {
-			w.violationf("task %d of %s has the result %s", i, t.key, r)
+	for i, r := range given.answer.Results {
+		if !bytes.Equal(r, taskResult(given.key, i)) {
+			w.violationf("task %d of %s has the result %s", i, given.key, r)
 		}
-		if len(w.startSeqs[taskKey{t.key, i}]) == 0 {
-			w.violationf("task %d of %s is done but never started", i, t.key)
+		if len(w.startSeqs[taskKey{given.key, i}]) == 0 {
+			w.violationf("task %d of %s is done but never started", i, given.key)
 		}
 	}
 }
@@ -145,17 +146,17 @@
 // hadRun reports whether a task that is notRun in an answer had run: at any time
 // for the same instance of the job or, if the job is not idempotent, before the
 // answer for any instance.
-func (w *world) hadRun(t *givenAnswer, index int) bool {
+func (w *world) hadRun(given *givenAnswer, index int) bool {
 	for s := range w.starts {
-		if s.instance == t.instance && s.index == index {
+		if s.instance == given.instance && s.index == index {
 			return true
 		}
 	}
-	if w.keys[t.key].idempotent {
+	if w.keys[given.key].idempotent {
 		return false
 	}
-	for _, at := range w.startSeqs[taskKey{t.key, index}] {
-		if at < t.seq {
+	for _, seq := range w.startSeqs[taskKey{given.key, index}] {
+		if seq < given.seq {
 			return true
 		}
 	}
--- a/dispatch/world_test.go
+++ b/dispatch/world_test.go
@@ -107,7 +107,7 @@
 	dead           bool
 	pausedUntil    time.Time
 	plannedChanges []member.Change
-	heirs          map[string]string
+	heirs          map[string]string // successors of stopped agents, by agent
 	waiters        map[job.Key][]func(*job.Answer, string)
 	instances      map[job.Key]int
 }
@@ -354,12 +354,12 @@
 }
 
 // answerWaiters gives the waiting submissions of a job its answer, or the entry
-// to which it has moved.
-func (w *world) answerWaiters(e *simEntry, k job.Key, ans *job.Answer, moved string) {
+// that holds its claim.
+func (w *world) answerWaiters(e *simEntry, k job.Key, ans *job.Answer, holder string) {
 	waiters := e.waiters[k]
 	delete(e.waiters, k)
 	for _, answer := range waiters {
-		answer(ans, moved)
+		answer(ans, holder)
 	}
 }
 
