--- a/dispatch/agents.go
+++ b/dispatch/agents.go
@@ -16,8 +16,7 @@
 	DataCentre string
 }
 
-// AgentUp takes the first status of an agent, or that of one that can be
-// reached again.
+// AgentUp takes the status of an agent that is new or reachable again.
 func (c *Core) AgentUp(now time.Time, info AgentInfo, st *wire.Status) {
 	a := c.agents[info.ID]
 	s := c.service(info.Service)
@@ -59,8 +58,7 @@
 	}
 }
 
-// abandonTasksAt gives the tasks of an agent that can never be asked again the
-// state unknown.
+// abandonTasksAt ends the tasks of an agent that can never be asked again.
 func (c *Core) abandonTasksAt(now time.Time, id string) {
 	for _, ref := range c.taskRefsAt(id) {
 		j := c.jobs[ref.key]
@@ -72,8 +70,7 @@
 	}
 }
 
-// taskRefsAt returns the tasks with an open attempt at an agent, in the order of
-// their attempts.
+// taskRefsAt returns the open tasks at an agent in the order of their attempts.
 func (c *Core) taskRefsAt(agent string) (refs []taskRef) {
 	for _, attempt := range slices.Sorted(maps.Keys(c.attempts)) {
 		ref := c.attempts[attempt]
--- a/dispatch/callers_test.go
+++ b/dispatch/callers_test.go
@@ -127,7 +127,6 @@
 	s.forward(e, p)
 }
 
-// recordAnswer takes the answer that the caller gets.
 func (s *submission) recordAnswer(t givenAnswer) {
 	s.w.tracef("%s: answers %s: %s %v %s", t.entry, s.id, t.key, t.answer.States, t.answer.Reason)
 	s.w.answers = append(s.w.answers, t)
--- a/dispatch/calls_test.go
+++ b/dispatch/calls_test.go
@@ -27,8 +27,6 @@
 	w.toAgent(a, func() { w.admit(a, e, &args, inst, runningTask{reply: reply, lost: lost}) }, lost)
 }
 
-// admit puts a dispatch to the gate of an agent and starts the task if the gate
-// allows it.
 func (w *world) admit(a *simAgent, e *simEntry, args *wire.RunArgs, inst instance, t runningTask) {
 	d := w.omitted.dispatch(a, args.Dispatch)
 	a.gate.Observe(d.Registry)
@@ -162,7 +160,6 @@
 	}
 }
 
-// violationf records that a guarantee does not hold.
 func (w *world) violationf(format string, args ...any) {
 	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
--- a/dispatch/cancel.go
+++ b/dispatch/cancel.go
@@ -30,7 +30,6 @@
 	return true
 }
 
-// sealDispatched seals the dispatched tasks of j, except adopted ones.
 func (c *Core) sealDispatched(j *activeJob) {
 	for i := range j.tasks {
 		if j.tasks[i].state == job.Dispatched && !j.tasks[i].adopted {
--- a/dispatch/claim.go
+++ b/dispatch/claim.go
@@ -24,8 +24,7 @@
 	purpose        claimPurpose
 }
 
-// claimPurpose says why a job is claimed, and so whether it may run without the
-// claim.
+// claimPurpose says why a job is claimed.
 type claimPurpose uint8
 
 const (
@@ -148,8 +147,7 @@
 	delete(c.jobs, j.spec.Key)
 }
 
-// adoptReports takes over the tasks of j that an agent started under another
-// claim.
+// adoptReports takes over what an agent started of j under another claim.
 func (c *Core) adoptReports(now time.Time, j *activeJob, agent string, reports []gate.Report) {
 	for i := range reports {
 		rep := &reports[i]
@@ -177,8 +175,7 @@
 	return t
 }
 
-// checkClaim completes the claim of j when all entries or all agents have
-// answered.
+// checkClaim ends the claim of j when all entries or all agents have answered.
 func (c *Core) checkClaim(now time.Time, j *activeJob) {
 	if j.claim == nil || !(c.allEntriesAnswered(j.claim) || c.allAgentsGranted(j.claim)) {
 		return
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -94,8 +94,7 @@
 	Suspended      map[string]bool
 }
 
-// NewRegistry returns the part of a registry that the Core of the entry self
-// needs.
+// NewRegistry returns what the Core of the entry self needs of a registry.
 func NewRegistry(self string, r *member.Registry) Registry {
 	out := Registry{Revision: r.Revision, HasLostEntries: len(r.Lost) > 0, Agents: make(map[string][]string), Suspended: make(map[string]bool)}
 	for _, e := range r.Entries {
@@ -243,7 +242,6 @@
 	otherAttempts []trace   // further attempts whose agents have to be asked
 }
 
-// taskRef identifies a task of a job.
 type taskRef struct {
 	key   job.Key
 	index int
--- a/dispatch/events_test.go
+++ b/dispatch/events_test.go
@@ -44,7 +44,6 @@
 	w.performActions()
 }
 
-// tick runs the timers and the membership checks of all entries.
 func (w *world) tick() {
 	for _, e := range w.entries {
 		if !w.entryUp(e) {
@@ -243,7 +242,6 @@
 	}, noop)
 }
 
-// takeRegistry updates the registry of an entry if r is newer.
 func (w *world) takeRegistry(e *simEntry, r member.Registry) {
 	if !e.view.Update(w.now, r) {
 		return
--- a/dispatch/memory.go
+++ b/dispatch/memory.go
@@ -39,8 +39,7 @@
 	return trs
 }
 
-// memoryOf returns the memory of a job and keeps it for another retention. It
-// creates the memory if there is none.
+// memoryOf returns the memory of a job, new or kept for another retention.
 func (c *Core) memoryOf(now time.Time, k job.Key) *jobMemory {
 	m := c.memories[k]
 	if m == nil {
@@ -77,8 +76,7 @@
 	}
 }
 
-// trace describes the attempt of a task. It reports whether the attempt may have
-// started.
+// trace describes the attempt of a task, and reports whether it may have started.
 func (j *activeJob) trace(entry string, i int) (tr trace, ok bool) {
 	t := &j.tasks[i]
 	tr.Trace = claim.Trace{Index: i, State: t.state, Agent: t.agent, Entry: entry, Attempt: t.attempt, Result: t.result, Error: t.err}
@@ -93,8 +91,7 @@
 	return tr, started && !t.rerun && t.agent != ""
 }
 
-// add stores a trace, or replaces a trace of the same attempt whose outcome was
-// not known.
+// add stores a trace, or the outcome of an attempt that is already stored.
 func (m *jobMemory) add(tr trace) {
 	for i := range m.traces {
 		old := &m.traces[i]
--- a/dispatch/partition_test.go
+++ b/dispatch/partition_test.go
@@ -14,7 +14,6 @@
 // storeName is the name of the key-value service in a partition.
 const storeName = "store"
 
-// blocks reports whether messages between two members wait.
 func (p *partition) blocks(now time.Time, from, to string) bool {
 	if !now.Before(p.until) || p.sides[from] == p.sides[to] {
 		return false
--- a/dispatch/promises_test.go
+++ b/dispatch/promises_test.go
@@ -64,7 +64,6 @@
 	}
 }
 
-// loseMessagesToDead fails the messages that no receiver can take.
 func (w *world) loseMessagesToDead() {
 	inTransit := w.messages
 	w.messages = nil
@@ -106,7 +105,6 @@
 	}
 }
 
-// checkAnswer checks an answer against the starts of its tasks.
 func (w *world) checkAnswer(given *givenAnswer) {
 	ans := &given.answer
 	if ans.Key != given.key {
@@ -219,7 +217,6 @@
 	name string
 }
 
-// mustClaim changes whether a job is claimed before it runs.
 func (r omittedRule) mustClaim(required bool) bool { return required && r.name != "claim" }
 
 // status changes the status that an agent sends.
@@ -261,7 +258,6 @@
 	return decs
 }
 
-// mayRun changes whether an entry may run jobs that are not idempotent.
 func (r omittedRule) mayRun(allowed bool) bool { return allowed || r.name == "introduced" }
 
 // skipInquiry answers an inquiry to the first entry without asking it, if the rule
--- a/dispatch/reply.go
+++ b/dispatch/reply.go
@@ -118,8 +118,7 @@
 	}
 }
 
-// updateHealth updates the health and the run times of the target from a task
-// that ended.
+// updateHealth records the outcome and run time of a task that ended.
 func (c *Core) updateHealth(now time.Time, j *activeJob, t *task, rep *gate.Report) {
 	a := c.agents[t.agent]
 	if a == nil || t.adopted {
@@ -134,13 +133,11 @@
 	}
 }
 
-// successMaxAge is how long a success of one target shows that tasks of the
-// service can succeed, so that failures at other targets count against those
-// targets.
+// successMaxAge is how long a success of one target shows that the tasks of its
+// service can succeed, so that failures count against the other targets.
 const successMaxAge = 30 * time.Second
 
-// onlySuccessful reports whether no target except that of a has succeeded within
-// successMaxAge.
+// onlySuccessful reports whether no target except that of a succeeded lately.
 func (c *Core) onlySuccessful(now time.Time, s *service, a *agent) bool {
 	for id, at := range s.lastSuccess {
 		if id != a.id && now.Sub(at) < successMaxAge {
@@ -194,8 +191,8 @@
 // maxBackoffShift keeps the doubled backoff from overflowing.
 const maxBackoffShift = 10
 
-// finishTask sets the final state of a task. It answers the job if no task of it
-// is open any more.
+// finishTask sets the final state of a task and answers the job if it was the
+// last one.
 func (c *Core) finishTask(now time.Time, j *activeJob, i int, s job.State) {
 	t := &j.tasks[i]
 	if t.state.Final() {
@@ -225,7 +222,6 @@
 	}
 }
 
-// finishJob answers a job and records its traces for later claims.
 func (c *Core) finishJob(now time.Time, j *activeJob) {
 	ans := job.Answer{Key: j.spec.Key, Submission: j.submission, Counts: j.counts()}
 	if ans.Counts.Done == len(j.tasks) {
--- a/dispatch/schedule.go
+++ b/dispatch/schedule.go
@@ -48,9 +48,8 @@
 	return c.limits.Teams[team].allows(c.runningOf(team))
 }
 
-// wouldMissDeadline reports whether even a task that started now would miss the
-// deadline, judged by the run times so far: it allows half the mean run time of
-// the fastest agent.
+// wouldMissDeadline reports whether a task that started now would miss the
+// deadline even if it took half the mean run time of the fastest agent.
 func (c *Core) wouldMissDeadline(now time.Time, s *service, j *activeJob) bool {
 	fastest := s.runTimes.Mean()
 	for _, a := range s.agents {
@@ -84,7 +83,6 @@
 	reservedForOthers bool // the slots that are left are reserved for other teams
 }
 
-// betterThan reports whether x is preferred to y.
 func (x candidate) betterThan(y candidate) bool {
 	switch {
 	case y.agent == nil:
@@ -97,8 +95,7 @@
 	return x.agent.inFlight < y.agent.inFlight
 }
 
-// usable reports whether a task of j can be dispatched to a now: a credit is at
-// hand and the agent's gate would take the task.
+// usable reports whether a task of j can be dispatched to a now.
 func (c *Core) usable(now time.Time, a *agent, j *activeJob) bool {
 	if a.balance.Available() == 0 || !c.acceptsWork(now, a) || now.Sub(a.stampReceived) >= c.cfg.StampLife {
 		return false
@@ -121,10 +118,9 @@
 	return a.status.Listed > 0 && a.status.Listed <= c.registry.Revision
 }
 
-// parkJob takes a job out of the queue that no agent with credits may take
-// now: it claims the job if that makes an agent with credits eligible, or
-// lets it wait if no agent of the service is eligible at all. It reports
-// whether it took the job out.
+// parkJob takes a job out of the queue that no agent with credits may take now:
+// to claim it, if that makes an agent with credits eligible, or to wait, if no
+// agent of the service is eligible at all. It reports whether it did so.
 func (c *Core) parkJob(now time.Time, s *service, j *activeJob) bool {
 	if j.spec.Idempotent {
 		return false
@@ -152,8 +148,6 @@
 	return true
 }
 
-// cost returns the expected run time at an agent, with the penalty for another
-// data centre.
 func (c *Core) cost(s *service, a *agent) time.Duration {
 	cost := a.health.Mean()
 	if cost == 0 {
@@ -165,7 +159,6 @@
 	return cost
 }
 
-// dispatch sends the next waiting task of j to an agent and spends a credit.
 func (c *Core) dispatch(now time.Time, s *service, j *activeJob, a *agent) {
 	i := j.nextQueued()
 	s.queue.Take(j.spec.Key)
@@ -210,7 +203,6 @@
 	return j.scanFrom
 }
 
-// occupy counts a dispatched task of j as running at an agent.
 func (c *Core) occupy(now time.Time, s *service, j *activeJob, a *agent) {
 	s.running++
 	c.addRunning(now, j.spec.Team, a, 1)
@@ -231,10 +223,8 @@
 	}
 }
 
-// fasterAgent returns the fastest agent that has free slots, but no credit of
-// this entry, and costs less than the share Config.AskGain of the cost of a: so
-// much faster that a request for a credit pays off. It returns nil if there is
-// none.
+// fasterAgent returns an agent with free slots, but without a credit for this
+// entry, that is so much faster than a that asking it for a credit pays off.
 func (c *Core) fasterAgent(now time.Time, s *service, j *activeJob, a *agent) *agent {
 	if c.cfg.AskGain == 0 {
 		return nil
@@ -277,8 +267,7 @@
 	c.timers.add(now.Add(askTimeout), timer{kind: scheduleTimer, name: s.name})
 }
 
-// askTimeout is how long to wait for the reply to a request for credits before
-// waiting tasks are scheduled again.
+// askTimeout is when waiting tasks are scheduled again if no reply has come.
 const askTimeout = 100 * time.Millisecond
 
 // agentToAsk returns the agent with the most free slots that are not lent to
--- a/dispatch/submit.go
+++ b/dispatch/submit.go
@@ -66,8 +66,7 @@
 	return j.answer != nil && j.answer.Counts.NotRun > 0
 }
 
-// inheritCancellation keeps a cancelled job from running when it is submitted
-// again.
+// inheritCancellation keeps a cancelled job cancelled when it is submitted again.
 func (j *activeJob) inheritCancellation(earlier *activeJob) {
 	j.cancelled = earlier.cancelled
 	j.reason = ""
@@ -76,7 +75,6 @@
 	}
 }
 
-// admit returns the error that refuses a new job, or nil.
 func (c *Core) admit(spec *job.Spec) error {
 	s := c.services[spec.Service]
 	share, listed := c.limits.Services[spec.Service]
@@ -95,8 +93,7 @@
 	return c.admitLoad(s, spec)
 }
 
-// admitLoad refuses a job that would wait past its deadline or overfill the
-// queue.
+// admitLoad refuses a job that would wait past its deadline or overfill the queue.
 func (c *Core) admitLoad(s *service, spec *job.Spec) error {
 	wait := c.expectedWait(s)
 	if wait > spec.Deadline || s.queue.Len()+len(spec.Tasks) > c.cfg.MaxWaiting {
@@ -133,7 +130,6 @@
 	return j
 }
 
-// enqueue puts all waiting tasks of j into the queue of its service.
 func (c *Core) enqueue(j *activeJob) {
 	waiting := 0
 	for i := range j.tasks {
@@ -156,8 +152,7 @@
 	return 1
 }
 
-// Lookup returns the answer of a job, or its counts while it is open. It reports
-// false if the job is not known.
+// Lookup returns the answer of a job, or its counts while it has none.
 func (c *Core) Lookup(k job.Key) (job.Answer, bool) {
 	j := c.jobs[k]
 	if j == nil {
--- a/dispatch/timer.go
+++ b/dispatch/timer.go
@@ -51,8 +51,7 @@
 	heap.Push(h, t)
 }
 
-// Next returns the time at which Tick has to be called next. It reports false if
-// no timer is set.
+// Next returns the time at which Tick has to be called next, if any timer is set.
 func (c *Core) Next() (due time.Time, ok bool) {
 	if len(c.timers) == 0 {
 		return time.Time{}, false
--- a/dispatch/world_test.go
+++ b/dispatch/world_test.go
@@ -62,7 +62,6 @@
 	lost       func() // called when the sender gives up
 }
 
-// keyState holds what was submitted under a key.
 type keyState struct {
 	idempotent    bool
 	submissions   int
@@ -98,7 +97,6 @@
 	seq    int
 }
 
-// simEntry is a simulated entry.
 type simEntry struct {
 	id             string
 	core           *dispatch.Core
@@ -112,7 +110,6 @@
 	instances      map[job.Key]int
 }
 
-// simAgent is a simulated agent.
 type simAgent struct {
 	id          string
 	gate        *gate.Gate
@@ -326,7 +323,6 @@
 	}
 }
 
-// perform carries out the actions of one Core and reports whether there were any.
 func (w *world) perform(e *simEntry, acts *dispatch.Actions) bool {
 	w.actor = e.id
 	for i := range acts.Runs {
