--- a/web/server.go
+++ b/web/server.go
@@ -2,11 +2,11 @@
 //
 // # Model
 //
-// rest can answer on its own behalf: by a breaker, a load shedder, a timeout
-// or a limit of connections. Such an answer could claim that a job did not run
-// although it did, so every one of them is off here. What stays on is the
-// limit of the body, traces, and the recovery from panics. Admission control
-// is the duty of package dispatch, whose refusals are proven.
+// rest can reply by itself: through a circuit breaker, a load shedder, a timeout
+// or a connection limit. Such a reply could say that a job did not run although
+// it did, so all of these are off here. The body limit, traces and the recovery
+// from panics stay on. Package dispatch does the admission control: it refuses a
+// job only if none of it ran.
 //
 // # Usage
 //
@@ -30,16 +30,16 @@
 	"github.com/zeromicro/go-zero/rest"
 )
 
-// Config describes a server.
+// Config holds the settings of a server.
 type Config struct {
 	Name     string
-	Address  string // IP number and port
+	Address  string // IP address and port
 	MaxBytes int64  // of a request's body
 	Trace    bool
 }
 
-// Server is an HTTP server that can be stopped by itself. A nil Server serves
-// nothing.
+// Server is an HTTP server that can be stopped independently of the process. A
+// nil Server serves nothing.
 type Server struct {
 	rest  *rest.Server
 	ready chan struct{}
@@ -48,13 +48,13 @@
 	http *http.Server
 }
 
-// AllowSlowStop keeps the library from ending the process before limit has
-// passed since a SIGTERM. By default it does so after 5.5 s.
+// AllowSlowStop keeps go-zero from ending the process before limit has passed
+// since a SIGTERM. By default it does so after 5.5 s.
 func AllowSlowStop(limit time.Duration) {
 	proc.Setup(proc.ShutdownConf{WrapUpTime: limit, WaitTime: 2 * limit})
 }
 
-// NewServer returns a server of routes.
+// NewServer returns a server for routes.
 func NewServer(cfg Config, routes []rest.Route) (s *Server, err error) {
 	defer func() { err = errors.Annotatef(err, "setting up the HTTP server %s", cfg.Address) }()
 	host, portText, err := net.SplitHostPort(cfg.Address)
@@ -67,19 +67,19 @@
 	}
 	conf := rest.RestConf{Host: host, Port: port, MaxBytes: cfg.MaxBytes}
 	conf.ServiceConf = service.ServiceConf{Name: cfg.Name}
-	conf.Telemetry.Disabled = true // package telemetry has set traces up
+	conf.Telemetry.Disabled = true // package telemetry has set up tracing
 	conf.Log.Mode = "console"
 	conf.Log.Level = "error"
 	conf.Middlewares = rest.MiddlewaresConf{Trace: cfg.Trace, Recover: true, MaxBytes: true}
-	r, err := rest.NewServer(conf)
+	restServer, err := rest.NewServer(conf)
 	if err != nil {
 		return nil, err
 	}
-	r.AddRoutes(routes, rest.WithTimeout(0), rest.WithMaxBytes(cfg.MaxBytes))
-	return &Server{rest: r, ready: make(chan struct{})}, nil
+	restServer.AddRoutes(routes, rest.WithTimeout(0), rest.WithMaxBytes(cfg.MaxBytes))
+	return &Server{rest: restServer, ready: make(chan struct{})}, nil
 }
 
-// Serve serves until Shutdown or Close.
+// Serve serves requests until Shutdown or Close is called.
 func (s *Server) Serve() {
 	if s == nil {
 		return
@@ -96,19 +96,21 @@
 
 const headerTimeout = 10 * time.Second
 
-func (s *Server) server() *http.Server {
+// awaitHTTP waits until Serve has created the HTTP server and returns it.
+func (s *Server) awaitHTTP() *http.Server {
 	<-s.ready
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.http
 }
 
-// Shutdown stops accepting and waits until the requests under way have ended.
+// Shutdown stops accepting requests and waits until those in progress have
+// ended.
 func (s *Server) Shutdown(ctx context.Context) error {
 	if s == nil {
 		return nil
 	}
-	return s.server().Shutdown(ctx)
+	return s.awaitHTTP().Shutdown(ctx)
 }
 
 // Close ends all connections at once.
@@ -116,7 +118,7 @@
 	if s == nil {
 		return
 	}
-	_ = s.server().Close()
+	_ = s.awaitHTTP().Close()
 }
 
 // Reply writes v as JSON.
--- a/web/server_test.go
+++ b/web/server_test.go
@@ -11,8 +11,8 @@
 	"masticbay/web"
 )
 
-// TestServerLeavesTracesAlone sets traces up, then a server, whose library
-// would replace the exporter, and expects the span in the file.
+// TestServerLeavesTracesAlone checks that NewServer does not replace the trace
+// exporter, as go-zero does by default: a span started afterwards is in the file.
 func TestServerLeavesTracesAlone(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "traces.json")
 	stop, err := telemetry.StartTraces("entry", file, 1)
@@ -24,7 +24,7 @@
 	}
 	ctx, span := telemetry.Span(context.Background(), "submit")
 	if telemetry.Inject(ctx) == "" {
-		t.Error("the span has no trace to pass on")
+		t.Error("the context of the span holds no trace to propagate")
 	}
 	span.End()
 	if err := stop(context.Background()); err != nil {
@@ -35,6 +35,6 @@
 		t.Fatal(err)
 	}
 	if !strings.Contains(string(raw), `"Name":"submit"`) {
-		t.Errorf("the file has no span: %s", raw)
+		t.Errorf("the trace file does not contain the span: %s", raw)
 	}
 }
