--- a/entry/actions.go
+++ b/entry/actions.go
@@ -14,44 +14,44 @@
 	"masticbay/wire"
 )
 
-// perform carries out the actions of the Core. Calls run in goroutines of
-// their own; their number is bounded by the credits, and for seals and claims
+// performActions carries out the actions of the Core. Each call runs in its own
+// goroutine; their number is bounded by the credits, and for seals and claims
 // by one batch for each agent and retry.
-func (e *Entry) perform() {
-	acts := e.core.dispatch.Take()
-	for i := range acts.Runs {
-		e.run(&acts.Runs[i])
+func (e *Entry) performActions() {
+	actions := e.core.dispatch.Take()
+	for i := range actions.Runs {
+		e.sendRun(&actions.Runs[i])
 	}
-	for i := range acts.Seals {
-		e.seal(&acts.Seals[i])
+	for i := range actions.Seals {
+		e.sendSeal(&actions.Seals[i])
 	}
-	for i := range acts.Claims {
-		e.claim(&acts.Claims[i])
+	for i := range actions.Claims {
+		e.sendClaim(&actions.Claims[i])
 	}
-	for i := range acts.Inquiries {
-		e.inquire(&acts.Inquiries[i])
+	for i := range actions.Inquiries {
+		e.sendInquiry(&actions.Inquiries[i])
 	}
-	for _, ask := range acts.Asks {
-		e.ask(ask)
+	for _, ask := range actions.Asks {
+		e.requestCredits(ask)
 	}
-	for i := range acts.Answers {
-		delete(e.core.traces, acts.Answers[i].Key)
-		e.wake(acts.Answers[i].Key, outcome{answer: &acts.Answers[i]})
+	for i := range actions.Answers {
+		delete(e.core.traces, actions.Answers[i].Key)
+		e.answerWaiters(actions.Answers[i].Key, outcome{answer: &actions.Answers[i]})
 	}
-	for _, r := range acts.Redirects {
-		e.wake(r.Key, outcome{moved: r.Holder})
+	for _, r := range actions.Redirects {
+		e.answerWaiters(r.Key, outcome{holder: r.Holder})
 	}
-	if acts.QuotaShort {
-		e.quotaShort(e.clock.Now())
+	if actions.QuotaShort {
+		e.requestQuota(e.clock.Now())
 	}
-	if acts.WantRegistry > e.core.members.Registry().Revision {
-		poke(e.pokePeer)
-		poke(e.pokeJoin)
+	if actions.WantRegistry > e.core.members.Registry().Revision {
+		notify(e.peerWakeup)
+		notify(e.registryWakeup)
 	}
 }
 
-// run sends a dispatch and posts its outcome.
-func (e *Entry) run(r *dispatch.Run) {
+// sendRun sends a dispatch to its agent and posts the reply.
+func (e *Entry) sendRun(r *dispatch.Run) {
 	attempt := r.Args.Dispatch.Attempt
 	l := e.core.agents[r.Agent]
 	if l == nil {
@@ -67,72 +67,73 @@
 		ctx, cancel := context.WithTimeout(ctx, args.Dispatch.StartWithin+runGrace)
 		defer cancel()
 		rep, err := wire.Call[wire.RunArgs, wire.RunReply](ctx, l.client, wire.AgentRun, &args)
-		e.post(func(now time.Time) { e.ran(now, l, attempt, rep, err) })
+		e.post(func(now time.Time) { e.takeRunReply(now, l, attempt, rep, err) })
 	}()
 }
 
-// runGrace is how long after its deadline a task may still be running before
-// its agent is asked about it.
+// runGrace is how long a task may still run after its deadline before its agent
+// is asked about it.
 const runGrace = 30 * time.Second
 
-func (e *Entry) ran(now time.Time, l *agentLink, attempt uint64, rep *wire.RunReply, err error) {
+func (e *Entry) takeRunReply(now time.Time, l *agentLink, attempt uint64, rep *wire.RunReply, err error) {
 	if err == nil {
-		e.heard(now, &rep.Status)
+		e.recordContact(now, &rep.Status)
 		e.core.dispatch.RunDone(now, attempt, &rep.Decision, &rep.Status)
 		return
 	}
 	sent := !errors.Is(err, wire.ErrNotSent)
 	if !errors.Is(err, wire.ErrTimeout) {
-		e.down(l, err)
+		e.markUnreachable(l, err)
 	}
 	e.core.dispatch.RunLost(now, attempt, sent)
 }
 
-// down marks an agent as unreachable and probes it until it answers or is
-// known to be gone.
-func (e *Entry) down(l *agentLink, err error) {
+// markUnreachable marks an agent as unreachable and probes it until it answers
+// or has ended.
+func (e *Entry) markUnreachable(l *agentLink, err error) {
 	e.core.dispatch.AgentDown(l.info.ID)
 	if l.probing || l.ended {
 		return
 	}
 	l.probing = true
-	e.log.Warn().Err(err).Str("agent", l.info.ID).Msg("agent not reached")
+	e.log.Warn().Err(err).Str("agent", l.info.ID).Msg("agent is unreachable")
 	go e.probe(l)
 }
 
 const (
-	firstProbePause   = 50 * time.Millisecond
-	longestProbePause = 2 * time.Second
-	callTimeout       = 2 * time.Second
+	probeInitialBackoff = 50 * time.Millisecond
+	probeMaxBackoff     = 2 * time.Second
+	callTimeout         = 2 * time.Second
 )
 
 func (e *Entry) probe(l *agentLink) {
-	pause := backoff{first: firstProbePause, longest: longestProbePause}
+	delays := backoff{initial: probeInitialBackoff, limit: probeMaxBackoff}
 	for {
-		if !e.sleep(pause.next()) {
+		if !e.sleep(delays.next()) {
 			return
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 		rep, err := wire.Call[wire.UpdateArgs, wire.UpdateReply](ctx, l.client, wire.AgentUpdate, &wire.UpdateArgs{Entry: e.id})
 		cancel()
-		over := make(chan bool, 1)
-		posted := e.post(func(now time.Time) { over <- e.probed(now, l, rep, err) })
+		finished := make(chan bool, 1)
+		posted := e.post(func(now time.Time) { finished <- e.takeProbeReply(now, l, rep, err) })
 		if !posted {
 			return
 		}
 		select {
 		case <-e.stop:
 			return
-		case done := <-over:
-			if done {
+		case isOver := <-finished:
+			if isOver {
 				return
 			}
 		}
 	}
 }
 
-// probed reports whether probing is over.
-func (e *Entry) probed(now time.Time, l *agentLink, rep *wire.UpdateReply, err error) bool {
+// takeProbeReply applies the reply to a probe, or its failure. It reports
+// whether probing is over.
+func (e *Entry) takeProbeReply(now time.Time, l *agentLink, rep *wire.UpdateReply, err error) bool {
 	if l.ended {
 		return true
 	}
@@ -142,25 +143,26 @@
 	}
 	l.probing = false
 	if rep.Status.Agent != l.info.ID {
-		return true // another incarnation lives there; it announces itself
+		return true // another incarnation runs there; it announces itself
 	}
-	e.log.Info().Str("agent", l.info.ID).Msg("agent reached again")
-	e.heard(now, &rep.Status)
+	e.log.Info().Str("agent", l.info.ID).Msg("agent is reachable again")
+	e.recordContact(now, &rep.Status)
 	e.core.dispatch.Status(now, &rep.Status)
 	return true
 }
 
-func (e *Entry) heard(now time.Time, st *wire.Status) {
+// recordContact records a message of an agent as contact with it.
+func (e *Entry) recordContact(now time.Time, st *wire.Status) {
 	if e.core.agents[st.Agent] != nil {
 		e.core.watchdog.Heard(now, st.Agent)
 	}
 }
 
-// seal asks an agent, or the one that has its record, about attempts.
-func (e *Entry) seal(s *dispatch.SentSeal) {
+// sendSeal seals attempts at their agent, or at its successor.
+func (e *Entry) sendSeal(s *dispatch.SentSeal) {
 	c := e.clientFor(s.Seal.Agent)
 	if c == nil {
-		return // the Core asks again
+		return // the Core retries
 	}
 	sent := *s
 	go func() {
@@ -177,8 +179,8 @@
 	}()
 }
 
-// claim asks an agent, or the one that has its record, about jobs.
-func (e *Entry) claim(cl *gate.Claim) {
+// sendClaim claims jobs at an agent, or at its successor.
+func (e *Entry) sendClaim(cl *gate.Claim) {
 	c := e.clientFor(cl.Agent)
 	if c == nil {
 		return
@@ -197,8 +199,8 @@
 	}()
 }
 
-// inquire asks another entry what it dispatched.
-func (e *Entry) inquire(q *dispatch.SentInquiry) {
+// sendInquiry asks another entry what it dispatched of jobs that are claimed.
+func (e *Entry) sendInquiry(q *dispatch.SentInquiry) {
 	to, ok := e.core.members.Registry().Entry(q.To)
 	if !ok {
 		return
@@ -209,13 +211,14 @@
 		defer cancel()
 		rep, err := wire.Call[wire.InquireArgs, wire.InquireReply](ctx, e.peers.client(e, to.Address), wire.EntryInquire, &args)
 		if err != nil || rep.Entry != to.ID {
-			return // the Core asks again
+			return // the Core retries
 		}
 		e.post(func(now time.Time) { e.core.dispatch.Testified(now, to.ID, rep.Testimonies) })
 	}()
 }
 
-func (e *Entry) ask(a dispatch.Ask) {
+// requestCredits asks an agent for credits.
+func (e *Entry) requestCredits(a dispatch.Ask) {
 	l := e.core.agents[a.Agent]
 	if l == nil {
 		return
@@ -228,17 +231,17 @@
 		e.post(func(now time.Time) {
 			if err != nil {
 				e.core.dispatch.Asked(now, a.Agent, nil)
-				e.down(l, err)
+				e.markUnreachable(l, err)
 				return
 			}
-			e.heard(now, &rep.Status)
+			e.recordContact(now, &rep.Status)
 			e.core.dispatch.Asked(now, a.Agent, &rep.Status)
 		})
 	}()
 }
 
-// clientFor returns the client of an agent, of the agent that took over its
-// record, or nil if neither is known.
+// clientFor returns the client of an agent or of its successor, or nil if
+// neither is known.
 func (e *Entry) clientFor(id string) *wire.Client {
 	if heir, ok := e.heirOf(id); ok {
 		id = heir
@@ -249,7 +252,7 @@
 		return l.client
 	}
 	if a, ok := e.core.members.Registry().Agent(id); ok {
-		return e.link(a).client
+		return e.ensureLink(a).client
 	}
 	return nil
 }
@@ -261,8 +264,8 @@
 	return e.core.members.Registry().Heir(id)
 }
 
-// link returns the connection to an agent, making one if there is none.
-func (e *Entry) link(a member.Agent) *agentLink {
+// ensureLink returns the connection to an agent and creates it if needed.
+func (e *Entry) ensureLink(a member.Agent) *agentLink {
 	l := e.core.agents[a.ID]
 	if l == nil {
 		l = &agentLink{
@@ -274,7 +277,8 @@
 	return l
 }
 
-// traceOf returns the trace that the submission of a job belongs to.
+// traceOf returns the traceparent of a job's submission, empty if it is not
+// traced.
 func (e *Entry) traceOf(k job.Key) string {
 	return e.core.traces[k]
 }
--- a/entry/backoff.go
+++ b/entry/backoff.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// backoff is a growing pause with jitter between retries.
+// backoff computes exponentially growing delays with jitter between retries.
 type backoff struct {
-	first, longest time.Duration
-	pause          time.Duration
+	initial, limit time.Duration
+	current        time.Duration
 }
 
-// next returns the next pause: between half and the whole of a value that
-// doubles up to the longest.
+// next returns the next delay: between half and the whole of a value that
+// doubles up to the limit.
 func (b *backoff) next() time.Duration {
-	b.pause = min(max(b.first, 2*b.pause), b.longest)
-	return b.pause/2 + rand.N(b.pause/2+1)
+	b.current = min(max(b.initial, 2*b.current), b.limit)
+	return b.current/2 + rand.N(b.current/2+1)
 }
 
-// reset makes the next pause the first one again.
-func (b *backoff) reset() { b.pause = 0 }
+// reset makes the next delay start from the initial one.
+func (b *backoff) reset() { b.current = 0 }
 
-// sleep waits for d. It reports false if the entry has ended.
+// sleep waits for d and reports false if the entry ends meanwhile.
 func (e *Entry) sleep(d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -33,10 +33,10 @@
 	}
 }
 
-// poke wakes a duty that waits on ch.
-func poke(ch chan struct{}) {
+// notify wakes the loop that waits on ch.
+func notify(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
-	default: // it is awake already
+	default: // a wakeup is already pending
 	}
 }
--- a/entry/call_core.go
+++ b/entry/call_core.go
@@ -7,11 +7,11 @@
 	"github.com/juju/errors"
 )
 
-// errEnded tells that the entry ended before it could do what was asked.
+// errEnded reports that the entry ended before the call completed.
 const errEnded = errors.ConstError("the entry has ended")
 
-// post puts an event into the ring, waiting for room. It reports false if the
-// entry has ended.
+// post sends an event to the core loop, waiting for space in the channel. It
+// reports false if the entry has ended.
 func (e *Entry) post(ev event) bool {
 	select {
 	case e.events <- ev:
@@ -21,9 +21,9 @@
 	}
 }
 
-// ask runs f in the core duty and returns its result. After an error f may
-// still run, or may have run.
-func ask[T any](ctx context.Context, e *Entry, f func(now time.Time) T) (v T, err error) {
+// callCore runs f in the core loop and returns its result. After an error f may
+// have run, or may run later.
+func callCore[T any](ctx context.Context, e *Entry, f func(now time.Time) T) (v T, err error) {
 	done := make(chan T, 1)
 	if !e.post(func(now time.Time) { done <- f(now) }) {
 		return v, errEnded
@@ -38,9 +38,10 @@
 	}
 }
 
-// do runs f in the core duty and waits for its end. The error is that of ask.
-func (e *Entry) do(ctx context.Context, f event) error {
-	_, err := ask(ctx, e, func(now time.Time) struct{} {
+// doInCore runs f in the core loop and waits until it returns. It fails as
+// callCore does.
+func (e *Entry) doInCore(ctx context.Context, f event) error {
+	_, err := callCore(ctx, e, func(now time.Time) struct{} {
 		f(now)
 		return struct{}{}
 	})
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,17 +1,21 @@
-// Package entry is the process that serves callers and operators.
+// Package entry implements the process that serves callers and operators.
 //
 // # Model
 //
-// An Entry holds a dispatch.Core, which decides about jobs, and a member.View,
+// An Entry holds a dispatch.Core, which schedules jobs, and a member.View,
 // which decides when a job must be claimed. Both belong to one goroutine, the
-// core duty, which takes events from a bounded ring and carries out the Core's
-// actions. Handlers of HTTP requests and of calls of other processes are
-// goroutines of their own; they put events into the ring and wait. When the
-// ring is full a new submission is refused, which proves that it did not run;
-// replies of agents wait for room.
+// core loop, which takes events from a bounded channel and carries out the
+// Core's actions. Handlers of HTTP requests and of RPCs run in goroutines of
+// their own; they post events to the channel and wait. When the channel is
+// full, a new submission is refused, which proves that it did not run; replies
+// of agents wait for space.
 //
-// Other duties watch the key-value service, exchange news with other entries,
-// and bring joins and leaves into the registry.
+// The home of a job is the entry that coordinates it: the listed entry that wins
+// the rendezvous hash of the job's service and key. Other entries forward
+// submissions to it.
+//
+// Other loops (methods named xxxDuty) watch the key-value service, exchange
+// updates with other entries, and write joins and leaves to the registry.
 //
 // # Usage
 //
@@ -40,7 +44,7 @@
 	"masticbay/wire"
 )
 
-// Options are what a command gives to an entry besides its settings.
+// Options holds the dependencies of an entry that are not settings.
 type Options struct {
 	Log     zerolog.Logger
 	Clock   clock.Clock // clock.System if nil
@@ -50,50 +54,50 @@
 
 // Entry is a running entry.
 type Entry struct {
-	cfg      setting.Entry
-	log      zerolog.Logger
-	clock    clock.Clock
-	network  wire.Network
-	store    store.Store
-	id       string
-	born     time.Time
-	address  string
-	metrics  *telemetry.Metrics
-	messages *wire.Messages
-	counters counters
-	server   *wire.Server
-	web      *web.Server
-	rows     table.Replica
-	editor   table.Editor
-	events   chan event
-	stop     chan struct{}
-	duties   sync.WaitGroup
-	refusing atomic.Bool // a planned stop has begun
-
-	mayRun   atomic.Bool                     // jobs that are not idempotent; see member.View
-	silent   atomic.Pointer[map[string]bool] // listed entries that are out of contact
-	pokePeer chan struct{}
-	pokeJoin chan struct{}
-	view     atomic.Pointer[member.Registry] // for readers outside the core duty
-
-	core    coreState    // belongs to the core duty
+	cfg       setting.Entry
+	log       zerolog.Logger
+	clock     clock.Clock
+	network   wire.Network
+	store     store.Store
+	id        string
+	startedAt time.Time
+	address   string
+	metrics   *telemetry.Metrics
+	messages  *wire.Messages
+	counters  counters
+	server    *wire.Server
+	web       *web.Server
+	rows      table.Replica
+	editor    table.Editor
+	events    chan event
+	stop      chan struct{}
+	duties    sync.WaitGroup
+	stopping  atomic.Bool // a planned stop has begun
+
+	mayRun         atomic.Bool                     // whether jobs that are not idempotent may run; see member.View
+	outOfContact   atomic.Pointer[map[string]bool] // listed entries that are out of contact
+	peerWakeup     chan struct{}
+	registryWakeup chan struct{}
+	registry       atomic.Pointer[member.Registry] // for readers outside the core loop
+
+	core    coreState    // accessed by the core loop only
 	peers   peerState    // has its own mutex
 	pending pendingState // has its own mutex
 
 	closeOnce sync.Once
 }
 
-// coreState is touched by the core duty only.
+// coreState is accessed by the core loop only.
 type coreState struct {
-	dispatch *dispatch.Core
-	members  *member.View
-	watchdog *member.Watchdog
-	quota    quotaState
-	waiters  map[job.Key][]chan outcome
-	agents   map[string]*agentLink
-	left     map[string]time.Time // entries whose planned stop has begun, and when it was heard of
-	heirs    map[string]string    // by the incarnation of an agent that has left
-	traces   map[job.Key]string   // W3C traceparents of running jobs that are traced
+	dispatch     *dispatch.Core
+	members      *member.View
+	watchdog     *member.Watchdog
+	quota        quotaState
+	waiters      map[job.Key][]chan outcome
+	agents       map[string]*agentLink
+	leavingSince map[string]time.Time // entries whose planned stop has begun, and when this entry learned of it
+	heirs        map[string]string    // successor of each agent that has left, by incarnation
+	traces       map[job.Key]string   // W3C traceparents of traced jobs that run
 }
 
 // agentLink is the entry's connection to one agent.
@@ -101,24 +105,25 @@
 	info    member.Agent
 	client  *wire.Client
 	probing bool
-	ended   bool // the incarnation is known to be gone
-	pushed  pushState
+	ended   bool // the incarnation has ended
+	pushed  pushedRevisions
 }
 
-// pushState is what the agent was last told.
-type pushState struct {
+// pushedRevisions holds the revisions that were last sent to an agent; joined is
+// the revision that first listed the agent.
+type pushedRevisions struct {
 	table    uint64
 	registry uint64
-	listed   uint64
+	joined   uint64
 }
 
-// event is one step of the core duty.
+// event is a function that the core loop runs.
 type event func(now time.Time)
 
-const eventRing = 4096
+const eventBuffer = 4096 // capacity of the event channel
 
-// Start starts an entry. Its incarnation is new each time. Without an HTTP
-// address in cfg it serves other processes only.
+// Start starts an entry under a new incarnation. Without an HTTP address in cfg
+// the entry serves only other processes.
 func Start(cfg setting.Entry, opts Options) (e *Entry, err error) {
 	defer func() { err = errors.Annotatef(err, "starting the entry at %s", cfg.RPC) }()
 	if opts.Clock == nil {
@@ -146,9 +151,9 @@
 	e.duties.Go(e.coreDuty)
 	e.duties.Go(e.peerDuty)
 	e.duties.Go(e.watchDuty)
-	e.duties.Go(e.joinDuty)
+	e.duties.Go(e.registryDuty)
 	e.duties.Go(e.metricsDuty)
-	e.join(member.AddEntry{Entry: e.member()})
+	e.queueChange(member.AddEntry{Entry: e.member()})
 	e.log.Info().Str("id", e.id).Str("http", cfg.HTTP).Str("rpc", e.address).Msg("entry started")
 	return e, nil
 }
@@ -156,44 +161,44 @@
 func newEntry(cfg setting.Entry, opts Options, address string) *Entry {
 	id := identity.New("entry")
 	e := &Entry{
-		cfg:      cfg,
-		log:      opts.Log,
-		clock:    opts.Clock,
-		network:  opts.Network,
-		store:    opts.Store,
-		id:       id,
-		born:     opts.Clock.Now(),
-		address:  address,
-		metrics:  telemetry.NewMetrics("entry"),
-		messages: &wire.Messages{},
-		editor:   table.Editor{Store: opts.Store, Clock: opts.Clock, NewID: func() string { return identity.New("edit") }},
-		events:   make(chan event, eventRing),
-		stop:     make(chan struct{}),
-		pokePeer: make(chan struct{}, 1),
-		pokeJoin: make(chan struct{}, 1),
+		cfg:            cfg,
+		log:            opts.Log,
+		clock:          opts.Clock,
+		network:        opts.Network,
+		store:          opts.Store,
+		id:             id,
+		startedAt:      opts.Clock.Now(),
+		address:        address,
+		metrics:        telemetry.NewMetrics("entry"),
+		messages:       &wire.Messages{},
+		editor:         table.Editor{Store: opts.Store, Clock: opts.Clock, NewID: func() string { return identity.New("edit") }},
+		events:         make(chan event, eventBuffer),
+		stop:           make(chan struct{}),
+		peerWakeup:     make(chan struct{}, 1),
+		registryWakeup: make(chan struct{}, 1),
 	}
 	e.counters = newCounters(e.metrics)
 	p := cfg.Policy
 	e.core = coreState{
-		dispatch: dispatch.New(id, coreConfig(cfg)),
-		members:  member.NewView(id, p.Retention(), contactIntervals*p.PeerInterval.D(), opts.Clock.Now()),
-		watchdog: member.NewWatchdog(id, p.Retention()),
-		waiters:  make(map[job.Key][]chan outcome),
-		agents:   make(map[string]*agentLink),
-		left:     make(map[string]time.Time),
-		heirs:    make(map[string]string),
-		traces:   make(map[job.Key]string),
+		dispatch:     dispatch.New(id, coreConfig(cfg)),
+		members:      member.NewView(id, p.Retention(), contactTimeoutIntervals*p.PeerInterval.D(), opts.Clock.Now()),
+		watchdog:     member.NewWatchdog(id, p.Retention()),
+		waiters:      make(map[job.Key][]chan outcome),
+		agents:       make(map[string]*agentLink),
+		leavingSince: make(map[string]time.Time),
+		heirs:        make(map[string]string),
+		traces:       make(map[job.Key]string),
 	}
-	e.core.quota.wants = make(map[string]map[string]int)
-	e.view.Store(&member.Registry{})
-	e.silent.Store(&map[string]bool{})
+	e.core.quota.peerWants = make(map[string]map[string]int)
+	e.registry.Store(&member.Registry{})
+	e.outOfContact.Store(&map[string]bool{})
 	e.peers.links = make(map[string]*peerLink)
 	return e
 }
 
-// contactIntervals is the number of peer intervals without a confirmation
-// after which a peer counts as out of contact.
-const contactIntervals = 3
+// contactTimeoutIntervals is the number of peer intervals without a
+// confirmation after which a peer counts as out of contact.
+const contactTimeoutIntervals = 3
 
 func coreConfig(cfg setting.Entry) dispatch.Config {
 	p := cfg.Policy
@@ -203,10 +208,10 @@
 		UnclearLimit: p.UnclearLimit.D(),
 		ClaimLimit:   p.ClaimLimit.D(),
 		ShortClaim:   p.ShortClaim.D(),
-		SealRetry:    sealRetry,
+		SealRetry:    sealRetryInterval,
 		StampLife:    p.StampLife.D() - stampMargin,
 		AskThreshold: p.AskThreshold(),
-		AskPause:     askPause,
+		AskPause:     askInterval,
 		FarPenalty:   farPenalty,
 		MaxWaiting:   cfg.Limits.Waiting,
 		DataCentre:   cfg.Common.DataCentre,
@@ -214,19 +219,19 @@
 }
 
 const (
-	sealRetry   = 50 * time.Millisecond
-	askPause    = 20 * time.Millisecond
-	farPenalty  = 3 * time.Millisecond
-	stampMargin = 500 * time.Millisecond
+	sealRetryInterval = 50 * time.Millisecond
+	askInterval       = 20 * time.Millisecond
+	farPenalty        = 3 * time.Millisecond
+	stampMargin       = 500 * time.Millisecond // how long before agents refuse a stamp the Core stops using it
 )
 
-// ID returns the incarnation.
+// ID returns the incarnation of the entry.
 func (e *Entry) ID() string { return e.id }
 
-// Done is closed when the entry has ended.
+// Done returns a channel that is closed when the entry has ended.
 func (e *Entry) Done() <-chan struct{} { return e.stop }
 
-// Messages counts what the entry has sent to other processes of the system.
+// Messages returns the counts of messages sent to other processes of the system.
 func (e *Entry) Messages() *wire.Messages { return e.messages }
 
 func (e *Entry) newClient(address string) *wire.Client {
--- a/entry/loop.go
+++ b/entry/loop.go
@@ -6,62 +6,64 @@
 	"masticbay/job"
 )
 
-// idleTick bounds the sleep of the core duty when nothing is due.
-const idleTick = time.Second
+// maxSleep bounds the sleep of the core loop when no timer is due.
+const maxSleep = time.Second
 
-// burst is the number of events that are taken before actions are carried out.
-const burst = 256
+// maxEventBatch bounds the events that are applied in a row before the actions
+// that follow from them are carried out.
+const maxEventBatch = 256
 
-// coreDuty owns the coreState: it applies events, fires what is due, and
-// carries out the actions that follow.
+// coreDuty is the core loop, which owns the coreState: it applies events, fires
+// timers that are due, and carries out the actions that follow.
 func (e *Entry) coreDuty() {
-	timer := time.NewTimer(idleTick)
+	timer := time.NewTimer(maxSleep)
 	defer timer.Stop()
-	sweep := e.clock.Now()
-	last := sweep
+	lastSweep := e.clock.Now()
+	lastTick := lastSweep
 	for {
 		select {
 		case <-e.stop:
-			e.closeLinks()
+			e.closeCore()
 			return
 		case ev := <-e.events:
 			now := e.clock.Now()
-			if e.overslept(now, last) {
+			if e.endIfPaused(now, lastTick) {
 				return
 			}
 			ev(now)
-			e.takeMore(now)
+			e.applyQueuedEvents(now)
 		case <-timer.C:
 		}
 		now := e.clock.Now()
-		if e.overslept(now, last) {
+		if e.endIfPaused(now, lastTick) {
 			return
 		}
-		last = now
+		lastTick = now
 		e.core.dispatch.Tick(now)
-		if now.Sub(sweep) >= e.sweepInterval() {
-			sweep = now
+		if now.Sub(lastSweep) >= e.sweepInterval() {
+			lastSweep = now
 			e.sweep(now)
 		}
-		e.perform()
-		timer.Reset(e.untilNext(now))
+		e.performActions()
+		timer.Reset(e.untilNextTimer(now))
 	}
 }
 
-// overslept ends the entry if it was paused for longer than a window. Requests
-// that reached it before the pause could no longer be told from new ones.
-func (e *Entry) overslept(now, last time.Time) bool {
-	if now.Sub(last) <= e.cfg.Policy.Window.D() {
+// endIfPaused ends the entry if the process was paused for longer than a window:
+// requests received before the pause could no longer be told from new ones. It
+// reports whether the entry has ended.
+func (e *Entry) endIfPaused(now, lastTick time.Time) bool {
+	if now.Sub(lastTick) <= e.cfg.Policy.Window.D() {
 		return false
 	}
-	e.log.Error().Dur("pause", now.Sub(last)).Msg("paused for longer than a window; ending")
+	e.log.Error().Dur("pause", now.Sub(lastTick)).Msg("process was paused for longer than a window; ending the entry")
 	e.Kill()
-	e.closeLinks()
+	e.closeCore()
 	return true
 }
 
-func (e *Entry) takeMore(now time.Time) {
-	for range burst {
+func (e *Entry) applyQueuedEvents(now time.Time) {
+	for range maxEventBatch {
 		select {
 		case ev := <-e.events:
 			ev(now)
@@ -71,15 +73,16 @@
 	}
 }
 
-func (e *Entry) untilNext(now time.Time) time.Duration {
-	wait := min(idleTick, e.sweepInterval())
+func (e *Entry) untilNextTimer(now time.Time) time.Duration {
+	wait := min(maxSleep, e.sweepInterval())
 	if due, ok := e.core.dispatch.Next(); ok {
 		wait = min(wait, due.Sub(now))
 	}
 	return max(wait, 0)
 }
 
-func (e *Entry) closeLinks() {
+// closeCore closes the connections to agents and releases all waiters.
+func (e *Entry) closeCore() {
 	for _, l := range e.core.agents {
 		l.client.Close()
 	}
@@ -90,15 +93,17 @@
 	}
 }
 
-// outcome ends the wait of a submission: the answer, or another entry to ask.
+// outcome is what a waiting submission gets: the answer of the job, or the
+// entry that holds its claim.
 type outcome struct {
 	answer *job.Answer
-	moved  string
+	holder string
 }
 
-func (e *Entry) wake(k job.Key, out outcome) {
+// answerWaiters passes an outcome to all submissions that wait for a job.
+func (e *Entry) answerWaiters(k job.Key, out outcome) {
 	for _, ch := range e.core.waiters[k] {
-		ch <- out // has room for one
+		ch <- out // buffered, so it does not block
 	}
 	delete(e.core.waiters, k)
 }
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -10,9 +10,9 @@
 	"masticbay/telemetry"
 )
 
-// counters are what the entry counts as it goes.
+// counters holds the counters that the entry increments itself.
 type counters struct {
-	takeovers tally.Counter // forwards that failed, after which the job ran here
+	takeovers tally.Counter // forwards to another entry that failed
 }
 
 func newCounters(m *telemetry.Metrics) counters {
@@ -21,7 +21,8 @@
 
 const metricsInterval = time.Second
 
-// metricsDuty reports the counts of the Core and the messages sent.
+// metricsDuty publishes the counters of the Core and of sent messages in every
+// metricsInterval.
 func (e *Entry) metricsDuty() {
 	report := e.newReport()
 	tick := time.NewTicker(metricsInterval)
@@ -37,7 +38,7 @@
 	}
 }
 
-// newReport returns a function that brings the counters up to date.
+// newReport returns a function that updates all metrics.
 func (e *Entry) newReport() func() {
 	requests := e.metrics.NewDelta("messages_requests")
 	replies := e.metrics.NewDelta("messages_replies")
@@ -49,7 +50,7 @@
 		requests.Set(e.messages.Requests())
 		replies.Set(e.messages.Replies())
 		tableRevision.Update(float64(e.rows.Current().Revision()))
-		_ = e.do(context.Background(), func(time.Time) { // an entry that ends reports no more
+		_ = e.doInCore(context.Background(), func(time.Time) { // fails only if the entry has ended
 			open.Update(float64(e.core.dispatch.Open()))
 			agents.Update(float64(len(e.core.dispatch.Agents())))
 			deltas.set(e.core.dispatch.Counters())
@@ -57,7 +58,7 @@
 	}
 }
 
-// coreDeltas feed counters from the totals of the Core.
+// coreDeltas turns the totals of the Core into increments of metrics.
 type coreDeltas struct {
 	submitted, attached, refused, complete, failed *telemetry.Delta
 	dispatched, requeued, seals, claims            *telemetry.Delta
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -12,35 +12,36 @@
 
 // peerState holds the connections to other entries.
 type peerState struct {
-	mu     sync.Mutex // guards what follows
+	mu     sync.Mutex // guards the fields below and those of each link
 	links  map[string]*peerLink
 	closed bool
 }
 
-// peerLink is the connection to one entry, by its address.
+// peerLink is the connection to one entry, identified by address.
 type peerLink struct {
-	client   *wire.Client
-	revision uint64 // of its registry and table when last heard from
-	table    uint64
-	stamp    time.Duration // its time when last heard from
-	stampAt  time.Time
+	client           *wire.Client
+	registryRevision uint64 // of its registry and table, as last reported
+	tableRevision    uint64
+	stamp            time.Duration // from its last message
+	stampReceivedAt  time.Time
 }
 
-// stamp reckons a peer's time from its last message.
-func (p *peerState) stamp(l *peerLink, now time.Time) time.Duration {
+// estimateStamp returns a peer's current stamp, extrapolated from its last
+// message, or 0 if it has sent none.
+func (p *peerState) estimateStamp(l *peerLink, now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if l.stampAt.IsZero() {
+	if l.stampReceivedAt.IsZero() {
 		return 0
 	}
-	return l.stamp + now.Sub(l.stampAt)
+	return l.stamp + now.Sub(l.stampReceivedAt)
 }
 
-// setStamp notes a peer's time.
+// setStamp records the stamp of a peer's message.
 func (p *peerState) setStamp(l *peerLink, stamp time.Duration, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l.stamp, l.stampAt = stamp, now
+	l.stamp, l.stampReceivedAt = stamp, now
 }
 
 func (p *peerState) client(e *Entry, address string) *wire.Client {
@@ -70,23 +71,23 @@
 	}
 }
 
-// know notes what a peer has.
-func (p *peerState) know(l *peerLink, revision, tableRevision uint64) {
+// noteRevisions records the revisions that a peer has.
+func (p *peerState) noteRevisions(l *peerLink, revision, tableRevision uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l.revision = max(l.revision, revision)
-	l.table = max(l.table, tableRevision)
+	l.registryRevision = max(l.registryRevision, revision)
+	l.tableRevision = max(l.tableRevision, tableRevision)
 }
 
-func (p *peerState) known(l *peerLink) (revision, tableRevision uint64) {
+func (p *peerState) knownRevisions(l *peerLink) (revision, tableRevision uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return l.revision, l.table
+	return l.registryRevision, l.tableRevision
 }
 
-// peerDuty exchanges news with the other entries in every interval, and at
-// once when something has changed here. Of each pair the one with the lower
-// identifier calls; the other calls only when it was not called.
+// peerDuty exchanges updates with the other entries in every interval, and at
+// once when something has changed here. Of each pair of entries, the one with
+// the lower identifier calls; the other calls only if it was not called.
 func (e *Entry) peerDuty() {
 	tick := time.NewTicker(e.cfg.Policy.PeerInterval.D())
 	defer tick.Stop()
@@ -95,7 +96,7 @@
 		select {
 		case <-e.stop:
 			return
-		case <-e.pokePeer:
+		case <-e.peerWakeup:
 			urgent = true
 		case <-tick.C:
 		}
@@ -105,9 +106,10 @@
 	}
 }
 
-// peersToCall returns the addresses of the peers whose turn it is.
+// peersToCall returns the addresses of the peers that this entry has to call
+// now.
 func (e *Entry) peersToCall(urgent bool) []string {
-	addrs, _ := ask(context.Background(), e, func(now time.Time) (addrs []string) {
+	addrs, _ := callCore(context.Background(), e, func(now time.Time) (addrs []string) {
 		listed := make(map[string]bool)
 		_, selfListed := e.core.members.Registry().Entry(e.id)
 		for _, p := range e.core.members.Registry().Entries {
@@ -115,8 +117,8 @@
 			if p.ID == e.id {
 				continue
 			}
-			at, ok := e.core.members.LastContact(p.ID)
-			stale := !ok || now.Sub(at) > 3*e.cfg.Policy.PeerInterval.D()/2
+			lastContact, known := e.core.members.LastContact(p.ID)
+			stale := !known || now.Sub(lastContact) > 3*e.cfg.Policy.PeerInterval.D()/2
 			if urgent || !selfListed || e.id < p.ID || stale {
 				addrs = append(addrs, p.Address)
 			}
@@ -131,27 +133,27 @@
 	return addrs
 }
 
-// stamp returns the time since this entry has started.
+// stamp returns the time since this entry started.
 func (e *Entry) stamp() time.Duration {
-	return e.clock.Now().Sub(e.born)
+	return e.clock.Now().Sub(e.startedAt)
 }
 
-// callPeer exchanges news with one entry.
+// callPeer exchanges updates with one entry.
 func (e *Entry) callPeer(address string, leaving bool) {
 	l := e.peers.link(e, address)
-	haveRevision, haveTable := e.peers.known(l)
-	begin := e.clock.Now()
-	args, err := ask(context.Background(), e, func(now time.Time) wire.PeerArgs {
+	peerRevision, peerTable := e.peers.knownRevisions(l)
+	sentAt := e.clock.Now()
+	args, err := callCore(context.Background(), e, func(now time.Time) wire.PeerArgs {
 		reg := e.core.members.Registry()
-		args := wire.PeerArgs{Entry: e.member(), Stopping: e.refusing.Load(), Leaving: leaving}
+		args := wire.PeerArgs{Entry: e.member(), Stopping: e.stopping.Load(), Leaving: leaving}
 		args.EntriesHash = reg.EntriesHash()
 		args.Revision = reg.Revision
 		args.Table = e.rows.Current().Revision()
 		args.Stamp = e.stamp()
 		args.Ended = e.core.members.Ended()
 		args.Age = e.core.members.Age(now)
-		args.Quota = e.quotaFor(address)
-		args.Registry, args.Rows = e.newsFor(haveRevision, haveTable)
+		args.Quota = e.quotaMessageFor(address)
+		args.Registry, args.Rows = e.updatesForPeer(peerRevision, peerTable)
 		return args
 	})
 	if err != nil {
@@ -165,20 +167,20 @@
 		return
 	}
 	e.peers.setStamp(l, rep.Stamp, e.clock.Now())
-	e.peers.know(l, max(rep.Revision, args.Revision), max(rep.Table, args.Table))
+	e.peers.noteRevisions(l, max(rep.Revision, args.Revision), max(rep.Table, args.Table))
 	e.post(func(now time.Time) {
-		e.learn(now, rep.Registry, rep.Rows, rep.Table)
-		e.refresh(begin.Add(-rep.Age), rep.Revision)
-		e.end(rep.Ended...)
+		e.mergeState(now, rep.Registry, rep.Rows, rep.Table)
+		e.confirmRevision(sentAt.Add(-rep.Age), rep.Revision)
+		e.endEntries(rep.Ended...)
 		e.core.members.Confirm(now, rep.Entry, rep.EntriesHash)
 		e.takeQuota(now, rep.Entry, &rep.Quota)
 	})
 }
 
-// peered answers the call of a peer. It runs in the core duty.
-func (e *Entry) peered(now time.Time, args *wire.PeerArgs, rep *wire.PeerReply) {
-	e.learn(now, args.Registry, args.Rows, args.Table)
-	e.refresh(now.Add(-args.Age-e.cfg.Policy.Window.D()), args.Revision) // no message is that late
+// answerPeer answers the call of a peer. It runs in the core loop.
+func (e *Entry) answerPeer(now time.Time, args *wire.PeerArgs, rep *wire.PeerReply) {
+	e.mergeState(now, args.Registry, args.Rows, args.Table)
+	e.confirmRevision(now.Add(-args.Age-e.cfg.Policy.Window.D()), args.Revision) // no message is in transit for longer than a window
 	e.core.members.Confirm(now, args.Entry.ID, args.EntriesHash)
 	reg := e.core.members.Registry()
 	rep.Entry = e.id
@@ -190,48 +192,50 @@
 	rep.Age = e.core.members.Age(now)
 	rep.Revision = reg.Revision
 	rep.Table = e.rows.Current().Revision()
-	rep.Registry, rep.Rows = e.newsFor(args.Revision, args.Table)
-	e.end(args.Ended...)
+	rep.Registry, rep.Rows = e.updatesForPeer(args.Revision, args.Table)
+	e.endEntries(args.Ended...)
 	if args.Leaving {
-		e.end(args.Entry.ID)
+		e.endEntries(args.Entry.ID)
 	}
 	rep.Ended = e.core.members.Ended()
 	if args.Stopping {
-		e.core.left[args.Entry.ID] = now
+		e.core.leavingSince[args.Entry.ID] = now
 	}
 	_, listed := reg.Entry(args.Entry.ID)
-	if _, left := e.core.left[args.Entry.ID]; !listed && !left {
-		e.join(member.AddEntry{Entry: args.Entry})
+	if _, left := e.core.leavingSince[args.Entry.ID]; !listed && !left {
+		e.queueChange(member.AddEntry{Entry: args.Entry})
 	}
 }
 
-// end notes that entries have ended for good, and spreads news of it.
-func (e *Entry) end(ids ...string) (news bool) {
-	if news = e.core.members.End(ids...); news {
+// endEntries records that entries have ended for good and tells the peers. It
+// reports whether that was new for any of them.
+func (e *Entry) endEntries(ids ...string) (isNew bool) {
+	if isNew = e.core.members.End(ids...); isNew {
 		e.log.Info().Strs("entries", ids).Msg("entries have ended")
-		poke(e.pokePeer)
+		notify(e.peerWakeup)
 	}
-	return news
+	return isNew
 }
 
 // End declares that a listed entry has ended for good. It reports whether the
 // entry was listed and not known to have ended.
-func (e *Entry) End(ctx context.Context, id string) (news bool, err error) {
-	return ask(ctx, e, func(time.Time) bool { return e.end(id) })
+func (e *Entry) End(ctx context.Context, id string) (isNew bool, err error) {
+	return callCore(ctx, e, func(time.Time) bool { return e.endEntries(id) })
 }
 
-// refresh takes over that a registry of some revision was the newest at a time.
-func (e *Entry) refresh(at time.Time, revision uint64) {
+// confirmRevision records that the registry with a revision was the newest at a
+// time.
+func (e *Entry) confirmRevision(at time.Time, revision uint64) {
 	if e.core.members.Registry().Revision >= revision {
 		e.core.members.Refresh(at)
 	}
 }
 
-// newsFor returns what a process that has the revisions lacks.
-func (e *Entry) newsFor(revision, tableRevision uint64) (reg *member.Registry, rows []table.Row) {
-	if cur := e.core.members.Registry(); cur.Revision > revision {
-		c := *cur
-		reg = &c
+// updatesForPeer returns what a peer with the given revisions lacks.
+func (e *Entry) updatesForPeer(revision, tableRevision uint64) (reg *member.Registry, rows []table.Row) {
+	if current := e.core.members.Registry(); current.Revision > revision {
+		registry := *current
+		reg = &registry
 	}
 	if snap := e.rows.Current(); snap.Revision() > tableRevision {
 		rows = snap.Rows(tableRevision)
@@ -239,21 +243,21 @@
 	return reg, rows
 }
 
-// learn takes a registry and rows over that came from anywhere, and spreads
-// them if they are news. Rows holds every change up to tableRevision that this
-// entry lacked when it told its own revision.
-func (e *Entry) learn(now time.Time, reg *member.Registry, rows []table.Row, tableRevision uint64) {
-	news := false
+// mergeState applies a registry and table rows from any source, and passes them
+// on if they are new. The rows hold every change up to tableRevision that this
+// entry lacked when it sent its own revision.
+func (e *Entry) mergeState(now time.Time, reg *member.Registry, rows []table.Row, tableRevision uint64) {
+	isNew := false
 	if reg != nil && e.core.members.Update(now, *reg) {
-		news = true
-		e.registryChanged(now)
+		isNew = true
+		e.applyRegistry(now)
 	}
 	if len(rows) > 0 && e.rows.Apply(rows, tableRevision) {
-		news = true
-		e.tableChanged(now)
+		isNew = true
+		e.applyTable(now)
 	}
-	if news {
-		poke(e.pokePeer)
-		e.pushToAgents()
+	if isNew {
+		notify(e.peerWakeup)
+		e.pushUpdates()
 	}
 }
--- a/entry/quota.go
+++ b/entry/quota.go
@@ -10,30 +10,31 @@
 	"masticbay/wire"
 )
 
-// quotaState is the entry's part in the limits of teams across entries.
+// quotaState holds the entry's part in sharing team limits among entries.
 type quotaState struct {
-	lender quota.Lender
-	holder quota.Holder
-	wants  map[string]map[string]int // what peers reported last, by peer and team
-	asked  time.Time                 // when peers were called for a larger share
+	lender      quota.Lender
+	holder      quota.Holder
+	peerWants   map[string]map[string]int // as last reported, by peer and team
+	lastRequest time.Time                 // when peers were last asked for a larger share
 }
 
-// quotaPause is the least time between calls for a larger share.
-const quotaPause = 100 * time.Millisecond
+// quotaRequestInterval is the minimum time between requests for a larger share.
+const quotaRequestInterval = 100 * time.Millisecond
 
-// lenderOf returns the entry that lends the limit of a team: the first of its
-// ranking that is in contact.
+// lenderOf returns the entry that lends the limit of a team: the first entry of
+// the team's ranking that is in contact.
 func (e *Entry) lenderOf(team string) string {
-	silent := *e.silent.Load()
+	outOfContact := *e.outOfContact.Load()
 	for _, p := range e.core.members.Registry().Rank("team/" + team) {
-		if !silent[p.ID] {
+		if !outOfContact[p.ID] {
 			return p.ID
 		}
 	}
 	return e.id
 }
 
-// wantsFrom returns what this entry wants of the teams that a peer lends.
+// wantsFrom returns the number of tasks that this entry wants to run of each
+// team whose limit a peer lends.
 func (e *Entry) wantsFrom(peer string) map[string]int {
 	wants := make(map[string]int)
 	for _, r := range e.rows.Current().Of(table.Team) {
@@ -44,48 +45,49 @@
 	return wants
 }
 
-// grantsTo lends to a peer what it wants of the teams that this entry lends.
+// grantsTo lends to a peer the shares that it wants of the teams whose limits
+// this entry lends.
 func (e *Entry) grantsTo(now time.Time, peer string, wants map[string]int) map[string]int {
 	grants := make(map[string]int)
 	for team, want := range wants {
 		r, ok := e.rows.Current().Row(table.Team, team)
 		if ok && r.Limit > 0 && e.lenderOf(team) == e.id {
-			grants[team] = e.core.quota.lender.Lend(now, team, peer, e.need(r, want))
+			grants[team] = e.core.quota.lender.Lend(now, team, peer, e.needOf(r, want))
 		}
 	}
 	return grants
 }
 
-func (e *Entry) need(r table.Row, want int) quota.Need {
+func (e *Entry) needOf(r table.Row, want int) quota.Need {
 	return quota.Need{Want: want, Limit: r.Limit, Entries: len(e.core.members.Registry().Entries)}
 }
 
-// quotaFor returns what to tell the peer at an address.
-func (e *Entry) quotaFor(address string) wire.Quota {
+// quotaMessageFor returns the wants and grants for the peer at an address.
+func (e *Entry) quotaMessageFor(address string) wire.Quota {
 	for _, p := range e.core.members.Registry().Entries {
 		if p.Address == address {
-			return wire.Quota{Wants: e.wantsFrom(p.ID), Grants: e.grantsTo(e.clock.Now(), p.ID, e.core.quota.wants[p.ID])}
+			return wire.Quota{Wants: e.wantsFrom(p.ID), Grants: e.grantsTo(e.clock.Now(), p.ID, e.core.quota.peerWants[p.ID])}
 		}
 	}
 	return wire.Quota{}
 }
 
-// takeQuota notes what a peer wants, and takes its grants over.
+// takeQuota records what a peer wants and applies its grants.
 func (e *Entry) takeQuota(now time.Time, peer string, q *wire.Quota) {
-	e.core.quota.wants[peer] = q.Wants
+	e.core.quota.peerWants[peer] = q.Wants
 	for team, amount := range q.Grants {
 		e.core.quota.holder.Apply(now, team, amount)
 	}
 	e.refreshQuota(now)
 }
 
-// refreshQuota lends to this entry itself, and brings the limits of teams in
-// line with what it holds.
+// refreshQuota lends to this entry itself, and sets the limits of teams to what
+// it holds.
 func (e *Entry) refreshQuota(now time.Time) {
 	rows := e.rows.Current().Of(table.Team)
 	for _, r := range rows {
 		if r.Limit > 0 && e.lenderOf(r.Name) == e.id {
-			amount := e.core.quota.lender.Lend(now, r.Name, e.id, e.need(r, e.core.dispatch.Want(r.Name)))
+			amount := e.core.quota.lender.Lend(now, r.Name, e.id, e.needOf(r, e.core.dispatch.Want(r.Name)))
 			e.core.quota.holder.Apply(now, r.Name, amount)
 		}
 	}
@@ -94,63 +96,66 @@
 	}
 }
 
-// quotaShort asks for a larger share, at most once in a pause.
-func (e *Entry) quotaShort(now time.Time) {
-	if now.Sub(e.core.quota.asked) < quotaPause {
+// requestQuota asks the peers for a larger share, at most once in every
+// quotaRequestInterval.
+func (e *Entry) requestQuota(now time.Time) {
+	if now.Sub(e.core.quota.lastRequest) < quotaRequestInterval {
 		return
 	}
-	e.core.quota.asked = now
+	e.core.quota.lastRequest = now
 	e.refreshQuota(now)
-	poke(e.pokePeer)
+	notify(e.peerWakeup)
 }
 
-// teamShares returns what each team may use here.
+// teamShares returns the share of each team at this entry.
 func (e *Entry) teamShares(now time.Time, rows []table.Row) map[string]dispatch.Share {
 	entries := len(e.core.members.Registry().Entries)
 	shares := make(map[string]dispatch.Share)
 	for _, r := range rows {
-		s := dispatch.Share{Weight: r.Weight, Limited: r.Limit > 0, Closed: r.Limit < 0}
-		if s.Limited {
-			s.Cap = e.core.quota.holder.Limit(now, r.Name, r.Limit, max(1, entries))
+		share := dispatch.Share{Weight: r.Weight, Limited: r.Limit > 0, Closed: r.Limit < 0}
+		if share.Limited {
+			share.Cap = e.core.quota.holder.Limit(now, r.Name, r.Limit, max(1, entries))
 		}
-		shares[r.Name] = s
+		shares[r.Name] = share
 	}
 	return shares
 }
 
-// serviceShares returns what each service may use here. Its limit is that of
-// its homes: the first entries of their rankings that are in contact.
+// serviceShares returns the share of each service at this entry. The limit of a
+// service is divided among its homes, each of which is the first entry of its
+// ranking that is in contact.
 func (e *Entry) serviceShares(rows []table.Row) map[string]dispatch.Share {
 	shares := make(map[string]dispatch.Share)
 	for _, r := range rows {
-		s := dispatch.Share{Weight: r.Weight, Limited: r.Limit > 0, Closed: r.Limit < 0}
-		if s.Limited {
-			s.Cap = e.serviceCap(r)
+		share := dispatch.Share{Weight: r.Weight, Limited: r.Limit > 0, Closed: r.Limit < 0}
+		if share.Limited {
+			share.Cap = e.serviceCap(r)
 		}
-		shares[r.Name] = s
+		shares[r.Name] = share
 	}
 	return shares
 }
 
+// serviceCap returns the part of a service's limit that falls to this entry.
 func (e *Entry) serviceCap(r table.Row) (n int) {
 	homes := e.cfg.Policy.Homes
-	silent := *e.silent.Load()
+	outOfContact := *e.outOfContact.Load()
 	reg := e.core.members.Registry()
 	for i := range homes {
 		part := r.Limit / homes
 		if i < r.Limit%homes {
 			part++
 		}
-		if firstOf(reg.Rank(e.cfg.Policy.HomeOf(r.Name, i)), silent) == e.id {
+		if firstInContact(reg.Rank(e.cfg.Policy.HomeOf(r.Name, i)), outOfContact) == e.id {
 			n += part
 		}
 	}
 	return n
 }
 
-func firstOf(ranked []member.Entry, silent map[string]bool) string {
+func firstInContact(ranked []member.Entry, outOfContact map[string]bool) string {
 	for _, p := range ranked {
-		if !silent[p.ID] {
+		if !outOfContact[p.ID] {
 			return p.ID
 		}
 	}
--- a/entry/registry.go
+++ b/entry/registry.go
@@ -12,18 +12,18 @@
 	"masticbay/store"
 )
 
-// pendingState holds the changes of the registry that are not written yet.
+// pendingState holds the changes to the registry that are not written yet.
 type pendingState struct {
 	mu      sync.Mutex // guards changes
 	changes []member.Change
 }
 
-// maxPending bounds the changes that wait; more of them come again by
-// themselves, with the next announcement or sweep.
+// maxPending bounds the pending changes. Those beyond it are dropped; the next
+// announcement or sweep proposes them again.
 const maxPending = 2000
 
-// join plans a change of the registry.
-func (e *Entry) join(c member.Change) {
+// queueChange queues a change to the registry for registryDuty.
+func (e *Entry) queueChange(c member.Change) {
 	e.pending.mu.Lock()
 	defer e.pending.mu.Unlock()
 	for _, known := range e.pending.changes {
@@ -34,71 +34,73 @@
 	if len(e.pending.changes) < maxPending {
 		e.pending.changes = append(e.pending.changes, c)
 	}
-	poke(e.pokeJoin)
+	notify(e.registryWakeup)
 }
 
+// takePending removes and returns the pending changes.
 func (e *Entry) takePending() []member.Change {
 	e.pending.mu.Lock()
 	defer e.pending.mu.Unlock()
-	cs := e.pending.changes
+	changes := e.pending.changes
 	e.pending.changes = nil
-	return cs
+	return changes
 }
 
 const (
-	joinBatch       = 50 * time.Millisecond // gathers changes into one write
-	firstJoinPause  = 100 * time.Millisecond
-	longestJoinWait = 5 * time.Second
+	changeBatchDelay       = 50 * time.Millisecond // time in which changes are gathered into one write
+	registryInitialBackoff = 100 * time.Millisecond
+	registryMaxBackoff     = 5 * time.Second
 )
 
-// joinDuty writes planned changes into the registry, many with one write. When
-// the key-value service does not answer, they wait; nothing else does.
-func (e *Entry) joinDuty() {
-	pause := backoff{first: firstJoinPause, longest: longestJoinWait}
+// registryDuty writes pending changes to the registry, many with one write. When
+// the key-value service does not answer, only these changes wait.
+func (e *Entry) registryDuty() {
+	delays := backoff{initial: registryInitialBackoff, limit: registryMaxBackoff}
 	for {
 		select {
 		case <-e.stop:
 			return
-		case <-e.pokeJoin:
+		case <-e.registryWakeup:
 		}
-		if !e.sleep(joinBatch) {
+		if !e.sleep(changeBatchDelay) {
 			return
 		}
 		changes := e.takePending()
 		reg, err := e.writeRegistry(context.Background(), changes)
 		if err != nil {
-			e.log.Debug().Err(err).Msg("registry not written")
+			e.log.Debug().Err(err).Msg("writing the registry failed; retrying")
 			e.restorePending(changes)
-			if !e.sleep(pause.next()) {
+			if !e.sleep(delays.next()) {
 				return
 			}
-			poke(e.pokeJoin)
+			notify(e.registryWakeup)
 			continue
 		}
-		pause.reset()
-		e.post(func(now time.Time) { e.learn(now, &reg, nil, 0) })
+		delays.reset()
+		e.post(func(now time.Time) { e.mergeState(now, &reg, nil, 0) })
 	}
 }
 
-func (e *Entry) restorePending(cs []member.Change) {
-	for _, c := range cs {
-		e.join(c)
+// restorePending queues changes again whose write failed.
+func (e *Entry) restorePending(changes []member.Change) {
+	for _, c := range changes {
+		e.queueChange(c)
 	}
 }
 
-// errConflict tells that another entry wrote the registry first.
-const errConflict = errors.ConstError("the registry was changed meanwhile")
+// errConflict reports that another entry wrote the registry first.
+const errConflict = errors.ConstError("another entry changed the registry first")
 
 // writeRegistry applies changes to the stored registry and returns the newest
-// state. A write whose answer was lost is applied again on top of what is
-// stored then, where it changes nothing if it had taken effect.
+// state. Changes whose write was not answered are applied again to the registry
+// that is stored by then; if the write took effect, they change nothing.
 func (e *Entry) writeRegistry(ctx context.Context, changes []member.Change) (reg member.Registry, err error) {
 	defer func() { err = errors.Annotate(err, "writing the registry") }()
-	it, err := e.store.Get(ctx, member.RegistryKey)
+	item, err := e.store.Get(ctx, member.RegistryKey)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		return reg, err
 	}
-	stored, err := member.Decode(it.Value)
+	stored, err := member.Decode(item.Value)
 	if err != nil {
 		return reg, err
 	}
@@ -110,44 +112,45 @@
 	if err != nil {
 		return reg, err
 	}
-	_, ok, err := e.store.CompareAndSwap(ctx, member.RegistryKey, value, it.Revision)
-	if err == nil && !ok {
+	_, swapped, err := e.store.CompareAndSwap(ctx, member.RegistryKey, value, item.Revision)
+	if err == nil && !swapped {
 		return reg, errConflict
 	}
 	return next, err
 }
 
-// registryChanged passes a new registry on. It runs in the core duty.
-func (e *Entry) registryChanged(now time.Time) {
+// applyRegistry passes a new registry to the Core and to readers outside the
+// core loop, in which it runs.
+func (e *Entry) applyRegistry(now time.Time) {
 	reg := *e.core.members.Registry()
-	e.view.Store(&reg)
+	e.registry.Store(&reg)
 	e.core.dispatch.SetRegistry(dispatch.NewRegistry(e.id, &reg))
 	e.log.Debug().Uint64("revision", reg.Revision).Int("entries", len(reg.Entries)).Int("agents", len(reg.Agents)).Msg("registry changed")
 	e.applyLimits(now)
-	if _, listed := reg.Entry(e.id); !listed && !e.refusing.Load() {
-		e.join(member.AddEntry{Entry: e.member()})
+	if _, listed := reg.Entry(e.id); !listed && !e.stopping.Load() {
+		e.queueChange(member.AddEntry{Entry: e.member()})
 	}
 }
 
-// wantListed plans to list an agent. The entry that is responsible does so at
-// once, the others only if it stays unlisted.
-func (e *Entry) wantListed(a member.Agent, reg *member.Registry) {
+// queueListing queues the listing of an agent. The responsible entry does so at
+// once, the others only if the agent stays unlisted.
+func (e *Entry) queueListing(a member.Agent, reg *member.Registry) {
 	listed, ok := reg.Agent(a.ID)
 	if ok {
 		if listed.Suspended {
-			e.join(member.SuspendAgent{ID: a.ID, On: false})
+			e.queueChange(member.SuspendAgent{ID: a.ID, On: false})
 		}
 		return
 	}
-	if e.responsible(a.Service) {
-		e.join(member.AddAgent{Agent: a})
+	if e.isResponsible(a.Service) {
+		e.queueChange(member.AddAgent{Agent: a})
 		return
 	}
 	go func() {
 		if e.sleep(e.cfg.Policy.PeerInterval.D()) {
 			e.post(func(time.Time) {
 				if _, ok := e.core.members.Registry().Agent(a.ID); !ok && e.core.agents[a.ID] != nil {
-					e.join(member.AddAgent{Agent: a})
+					e.queueChange(member.AddAgent{Agent: a})
 				}
 			})
 		}
--- a/entry/stop.go
+++ b/entry/stop.go
@@ -14,15 +14,16 @@
 
 const (
 	stopPoll = 20 * time.Millisecond
-	// adoptBatch bounds the jobs in one message of a hand-over.
+	// adoptBatch bounds the jobs in one message of a handover.
 	adoptBatch = 200
 )
 
-// Stop ends the entry as planned: it refuses new jobs, waits for those it has,
-// gives its remembered answers to peers, and leaves the registry.
+// Stop ends the entry as planned: it refuses new jobs, waits until its open jobs
+// have ended, hands its remembered answers over to peers, and leaves the
+// registry.
 func (e *Entry) Stop(ctx context.Context) (err error) {
 	defer func() { err = errors.Annotate(err, "stopping the entry") }()
-	e.refusing.Store(true)
+	e.stopping.Store(true)
 	e.log.Info().Msg("entry is stopping")
 	if err := e.awaitIdle(ctx); err != nil {
 		e.Kill()
@@ -37,23 +38,24 @@
 	return err
 }
 
-// leave takes the entry out of the registry and tells its peers, who do so in
-// its place if the key-value service does not answer now.
+// leave removes the entry from the registry and tells its peers, who remove it
+// if the key-value service does not answer now.
 func (e *Entry) leave(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	reg, err := e.writeRegistry(ctx, []member.Change{member.RemoveEntry{ID: e.id}})
 	if err == nil {
-		_ = e.do(ctx, func(now time.Time) { e.learn(now, &reg, nil, 0) }) // or the peers tell it
+		_ = e.doInCore(ctx, func(now time.Time) { e.mergeState(now, &reg, nil, 0) }) // on failure the peers, which are called next, remove the entry
 	}
 	for _, addr := range e.peersToCall(true) {
 		e.callPeer(addr, true)
 	}
 }
 
+// awaitIdle waits until no job is open and no request waits.
 func (e *Entry) awaitIdle(ctx context.Context) error {
 	for {
-		open, err := ask(ctx, e, func(time.Time) int { return e.core.dispatch.Open() + len(e.core.waiters) })
+		open, err := callCore(ctx, e, func(time.Time) int { return e.core.dispatch.Open() + len(e.core.waiters) })
 		if err != nil {
 			return errors.Annotate(err, "waiting for open jobs")
 		}
@@ -66,17 +68,17 @@
 	}
 }
 
-// handOver gives what is remembered of each job to the entry that will be its
-// home. It reports whether all of it was taken: only then may the
+// handOver sends what this entry remembers about each job to the entry that
+// becomes its home. It reports whether all of it was accepted: only then may the
 // entry leave the registry at once.
 func (e *Entry) handOver(ctx context.Context) bool {
-	rs, err := ask(ctx, e, e.core.dispatch.Export)
+	remembered, err := callCore(ctx, e, e.core.dispatch.Export)
 	if err != nil {
 		return false
 	}
-	after, _ := e.view.Load().With([]member.Change{member.RemoveEntry{ID: e.id}})
+	after, _ := e.registry.Load().With([]member.Change{member.RemoveEntry{ID: e.id}})
 	batches := make(map[string][]claim.Remembered)
-	for _, r := range rs {
+	for _, r := range remembered {
 		home, ok := after.Home(e.cfg.Policy.HomeName(r.Service, r.Key))
 		if !ok {
 			return false
@@ -93,13 +95,14 @@
 	return true
 }
 
+// adopt asks the entry at an address to adopt jobs and reports whether it did.
 func (e *Entry) adopt(ctx context.Context, address string, jobs []claim.Remembered) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	args := wire.AdoptArgs{Jobs: jobs}
 	_, err := wire.Call[wire.AdoptArgs, wire.AdoptReply](ctx, e.peers.client(e, address), wire.EntryAdopt, &args)
 	if err != nil {
-		e.log.Warn().Err(err).Str("address", address).Msg("peer did not take the memory over")
+		e.log.Warn().Err(err).Str("address", address).Msg("handover of job records to a peer failed")
 	}
 	return err == nil
 }
--- a/entry/submit.go
+++ b/entry/submit.go
@@ -17,46 +17,47 @@
 
 // submission is one request to run a job.
 type submission struct {
-	spec  job.Spec
-	id    string
-	from  string // the entry that forwarded it; empty if it came from a caller
-	claim bool   // a claim is needed whatever the view says
-	trace string
-	until time.Time // the deadline
-	doubt bool      // another entry was asked to run it and did not answer
-	tried []string  // entries that did not take it
+	spec                job.Spec
+	id                  string
+	from                string // the entry that forwarded it; empty if a caller submitted it here
+	mustClaim           bool   // a claim is needed, whatever the member.View says
+	trace               string
+	deadlineAt          time.Time
+	mayHaveRunElsewhere bool     // an entry that was asked to run it did not answer
+	tried               []string // entries that did not accept it
 }
 
-// left returns the submission's job with what is left of its deadline. It
-// reports false if nothing is left: starting the job then could outlast the
-// records that keep it from running twice.
-func (s *submission) left(now time.Time) (spec job.Spec, ok bool) {
+// remaining returns the submission's job with the time left until its deadline.
+// It reports false if none is left: a job started then could outlast the records
+// that keep it from running twice.
+func (s *submission) remaining(now time.Time) (spec job.Spec, ok bool) {
 	spec = s.spec
-	spec.Deadline = s.until.Sub(now)
+	spec.Deadline = s.deadlineAt.Sub(now)
 	return spec, spec.Deadline > 0
 }
 
-// maxMoves bounds how often a submission is sent on before it fails.
-const maxMoves = 6
+// maxHops bounds the entries that a submission is tried at before it fails.
+const maxHops = 6
 
-// Submit runs a job to its end and returns its answer. The error is a
-// *job.RefusedError if nothing of the submission ran, and an error of ctx if
+// Submit runs a job, waits for its end and returns its answer. The error is a
+// *job.RefusedError if nothing of the submission ran, and the error of ctx if
 // the caller stopped waiting.
 func (e *Entry) Submit(ctx context.Context, spec job.Spec) (ans job.Answer, err error) {
 	ctx, span := telemetry.Span(ctx, "submit")
 	defer span.End()
 	s := submission{spec: spec, id: identity.New("submission"), trace: telemetry.Inject(ctx)}
-	ans, err = e.settle(ctx, s)
+	ans, err = e.resolve(ctx, s)
 	return ans.For(s.id), err
 }
 
-// settle finds the entry that answers for the job and returns its answer.
-func (e *Entry) settle(ctx context.Context, s submission) (ans job.Answer, err error) {
+// resolve finds the entry that runs the job, itself or another one, and returns
+// the answer.
+func (e *Entry) resolve(ctx context.Context, s submission) (ans job.Answer, err error) {
 	defer func() { err = errors.Annotatef(err, "running job %s", s.spec.Key) }()
-	s.until = e.clock.Now().Add(s.spec.Deadline)
-	holder := e.home(&s)
-	for range maxMoves {
-		if _, ok := s.left(e.clock.Now()); !ok {
+	s.deadlineAt = e.clock.Now().Add(s.spec.Deadline)
+	holder := e.homeFor(&s)
+	for range maxHops {
+		if _, ok := s.remaining(e.clock.Now()); !ok {
 			break
 		}
 		if holder.ID != e.id {
@@ -65,12 +66,12 @@
 			case ctx.Err() != nil:
 				return job.Answer{}, ctx.Err()
 			case err != nil:
-				s.failed(holder, !errors.Is(err, wire.ErrNotSent))
-				holder = e.home(&s)
+				s.recordFailure(holder, !errors.Is(err, wire.ErrNotSent))
+				holder = e.homeFor(&s)
 				continue
-			case rep.Refused != nil && movable(rep.Refused.Code):
-				s.failed(holder, false)
-				holder = e.home(&s)
+			case rep.Refused != nil && acceptableElsewhere(rep.Refused.Code):
+				s.recordFailure(holder, false)
+				holder = e.homeFor(&s)
 				continue
 			case rep.Refused != nil:
 				return job.Answer{}, rep.Refused
@@ -79,28 +80,29 @@
 			}
 		}
 		out, err := e.runHere(ctx, &s)
-		if _, refused := errors.AsType[*job.RefusedError](err); refused && s.doubt {
-			break // that nothing ran here does not prove that nothing ran
+		if _, refused := errors.AsType[*job.RefusedError](err); refused && s.mayHaveRunElsewhere {
+			break // a refusal here does not prove that the other entry ran nothing
 		}
 		if err != nil || out.answer != nil {
 			return orZero(out.answer), err
 		}
-		holder = e.entryByID(out.moved)
-		s.claim = true
+		holder = e.entryByID(out.holder)
+		s.mustClaim = true
 	}
-	return e.unresolved(&s), nil
+	return e.unresolvedAnswer(&s), nil
 }
 
-// failed notes that an entry did not take the submission. If it may have run
-// it all the same, the job has to be claimed by the next one.
-func (s *submission) failed(by member.Entry, doubt bool) {
+// recordFailure records that an entry did not accept the submission. If that
+// entry may have run it nevertheless, the next one has to claim the job.
+func (s *submission) recordFailure(by member.Entry, mayHaveRun bool) {
 	s.tried = append(s.tried, by.ID)
-	s.claim = s.claim || doubt
-	s.doubt = s.doubt || doubt
+	s.mustClaim = s.mustClaim || mayHaveRun
+	s.mayHaveRunElsewhere = s.mayHaveRunElsewhere || mayHaveRun
 }
 
-// movable reports whether another entry may accept what was refused.
-func movable(c job.Code) bool {
+// acceptableElsewhere reports whether another entry may accept a submission that
+// was refused with a code.
+func acceptableElsewhere(c job.Code) bool {
 	return c == job.Stopping || c == job.Stale || c == job.Unready
 }
 
@@ -111,9 +113,9 @@
 	return *a
 }
 
-// unresolved is the answer to a job whose outcome could not be found out within
-// its deadline.
-func (e *Entry) unresolved(s *submission) job.Answer {
+// unresolvedAnswer returns the answer to a job whose outcome could not be
+// determined before its deadline.
+func (e *Entry) unresolvedAnswer(s *submission) job.Answer {
 	ans := job.Answer{Key: s.spec.Key, Status: job.Broken, Reason: "the entry that may have run the job did not answer in time"}
 	for range s.spec.Tasks {
 		ans.Counts.Add(job.Unknown)
@@ -122,33 +124,33 @@
 	return ans
 }
 
-// home returns the entry that the submission belongs to: the first of those
-// that are in contact and have not refused it. A submission that was forwarded
-// goes no further.
-func (e *Entry) home(s *submission) member.Entry {
+// homeFor returns the entry that the submission goes to: the first one of its
+// ranking that is in contact and was not tried. A submission that was forwarded
+// here stays here.
+func (e *Entry) homeFor(s *submission) member.Entry {
 	self := e.member()
 	if s.from != "" {
 		return self
 	}
-	silent := *e.silent.Load()
-	for _, p := range e.view.Load().Rank(e.homeName(&s.spec)) {
+	outOfContact := *e.outOfContact.Load()
+	for _, p := range e.registry.Load().Rank(e.homeNameOf(&s.spec)) {
 		if p.ID == e.id && (s.spec.Idempotent || e.mayRun.Load()) {
 			return p
 		}
-		if p.ID != e.id && !silent[p.ID] && !slices.Contains(s.tried, p.ID) {
+		if p.ID != e.id && !outOfContact[p.ID] && !slices.Contains(s.tried, p.ID) {
 			return p
 		}
 	}
 	return self
 }
 
-func (e *Entry) homeName(spec *job.Spec) string {
+func (e *Entry) homeNameOf(spec *job.Spec) string {
 	return e.cfg.Policy.HomeName(spec.Service, spec.Key)
 }
 
-// entryByID returns a listed entry, or one that can not be reached.
+// entryByID returns a listed entry, or this one if none with the id is listed.
 func (e *Entry) entryByID(id string) member.Entry {
-	listed, ok := e.view.Load().Entry(id)
+	listed, ok := e.registry.Load().Entry(id)
 	if !ok {
 		return e.member()
 	}
@@ -160,22 +162,22 @@
 	ctx, span := telemetry.Span(ctx, "entry → entry")
 	defer span.End()
 	now := e.clock.Now()
-	spec, _ := s.left(now)
+	spec, _ := s.remaining(now)
 	ctx, cancel := context.WithTimeout(ctx, spec.Deadline)
 	defer cancel()
 	l := e.peers.link(e, to.Address)
-	args := wire.SubmitArgs{Spec: spec, Submission: s.id, From: e.id, Claim: s.claim, Trace: telemetry.Inject(ctx), Stamp: e.peers.stamp(l, now)}
+	args := wire.SubmitArgs{Spec: spec, Submission: s.id, From: e.id, Claim: s.mustClaim, Trace: telemetry.Inject(ctx), Stamp: e.peers.estimateStamp(l, now)}
 	rep, err = wire.Call[wire.SubmitArgs, wire.SubmitReply](ctx, l.client, wire.EntrySubmit, &args)
 	if err != nil {
 		e.counters.takeovers.Inc(1)
-		e.log.Debug().Err(err).Str("entry", to.ID).Msg("home not reached")
+		e.log.Debug().Err(err).Str("entry", to.ID).Msg("forwarding a submission failed")
 	}
 	return rep, err
 }
 
 // runHere submits to this entry's Core and waits for the outcome.
 func (e *Entry) runHere(ctx context.Context, s *submission) (out outcome, err error) {
-	if e.refusing.Load() {
+	if e.stopping.Load() {
 		return out, &job.RefusedError{Code: job.Stopping, Message: "this entry is stopping", RetryAfter: time.Second}
 	}
 	wait := make(chan outcome, 1)
@@ -207,37 +209,38 @@
 	}
 }
 
-// admit runs in the core duty.
+// admit submits a job to the Core and registers the waiter. It runs in the core
+// loop.
 func (e *Entry) admit(now time.Time, s *submission, wait chan outcome) error {
-	claim := s.claim || s.spec.Resubmission
+	mustClaim := s.mustClaim || s.spec.Resubmission
 	if !s.spec.Idempotent {
 		if !e.core.members.MayRun(now) {
 			return &job.RefusedError{Code: job.Unready, Message: "this entry is not known to all others yet, or may no longer be", RetryAfter: time.Second}
 		}
-		claim = claim || e.core.members.MustClaim(now, e.homeName(&s.spec))
+		mustClaim = mustClaim || e.core.members.MustClaim(now, e.homeNameOf(&s.spec))
 	}
-	spec, ok := s.left(now)
+	spec, ok := s.remaining(now)
 	if !ok {
 		return &job.RefusedError{Code: job.Stale, Message: "the deadline passed before the job was admitted"}
 	}
-	t, err := e.core.dispatch.Submit(now, &spec, dispatch.Admission{Submission: s.id, Claim: claim})
+	ticket, err := e.core.dispatch.Submit(now, &spec, dispatch.Admission{Submission: s.id, Claim: mustClaim})
 	if err != nil {
-		return e.unlessListed(&spec, err)
+		return e.unreadyIfListed(&spec, err)
 	}
-	if t.Answer != nil {
-		wait <- outcome{answer: t.Answer}
+	if ticket.Answer != nil {
+		wait <- outcome{answer: ticket.Answer}
 		return nil
 	}
-	if !t.Attached && s.trace != "" {
+	if !ticket.Attached && s.trace != "" {
 		e.core.traces[s.spec.Key] = s.trace
 	}
 	e.core.waiters[s.spec.Key] = append(e.core.waiters[s.spec.Key], wait)
 	return nil
 }
 
-// unlessListed corrects the refusal of a service that this entry has not heard
-// of: if agents of it are listed, they will announce themselves here too.
-func (e *Entry) unlessListed(spec *job.Spec, err error) error {
+// unreadyIfListed replaces the refusal of a service that this entry does not
+// know: if agents of it are listed, they will announce themselves here too.
+func (e *Entry) unreadyIfListed(spec *job.Spec, err error) error {
 	refused, ok := errors.AsType[*job.RefusedError](err)
 	if !ok || refused.Code != job.UnknownService {
 		return err
@@ -251,12 +254,12 @@
 }
 
 // Lookup returns a job's answer, waiting for it if wait is set, or its counts
-// while it runs. If the job is not here the other entries are asked.
+// while it runs. If this entry does not know the job, it asks the others.
 func (e *Entry) Lookup(ctx context.Context, k job.Key, wait bool) (ans job.Answer, found bool) {
 	if ans, found = e.lookupHere(ctx, k, wait); found {
 		return ans, true
 	}
-	for _, c := range e.others() {
+	for _, c := range e.otherClients() {
 		args := wire.LookupArgs{Key: k, Wait: wait}
 		rep, err := wire.Call[wire.LookupArgs, wire.LookupReply](ctx, c, wire.EntryLookup, &args)
 		if err == nil && rep.Found {
@@ -266,19 +269,20 @@
 	return job.Answer{}, false
 }
 
-// others returns clients of the other listed entries.
-func (e *Entry) others() (cs []*wire.Client) {
-	for _, p := range e.view.Load().Entries {
+// otherClients returns clients of the other listed entries.
+func (e *Entry) otherClients() (clients []*wire.Client) {
+	for _, p := range e.registry.Load().Entries {
 		if p.ID != e.id {
-			cs = append(cs, e.peers.client(e, p.Address))
+			clients = append(clients, e.peers.client(e, p.Address))
 		}
 	}
-	return cs
+	return clients
 }
 
+// lookupHere is Lookup for the jobs of this entry.
 func (e *Entry) lookupHere(ctx context.Context, k job.Key, wait bool) (ans job.Answer, found bool) {
 	ch := make(chan outcome, 1)
-	now, err := ask(ctx, e, func(time.Time) (ans *job.Answer) {
+	current, err := callCore(ctx, e, func(time.Time) (ans *job.Answer) {
 		known, ok := e.core.dispatch.Lookup(k)
 		if !ok {
 			return nil
@@ -288,10 +292,10 @@
 		}
 		return &known
 	})
-	if err != nil || now == nil {
+	if err != nil || current == nil {
 		return ans, false
 	}
-	ans = *now
+	ans = *current
 	if !wait || ans.Status != job.Running {
 		return ans, true
 	}
@@ -306,14 +310,14 @@
 	return ans, true
 }
 
-// Cancel cancels a job here or at the entry that has it. It reports whether it
-// was known.
+// Cancel cancels a job here or at the entry that has it. It reports whether any
+// entry knows the job.
 func (e *Entry) Cancel(ctx context.Context, k job.Key) (found bool) {
-	found, _ = ask(ctx, e, func(now time.Time) bool { return e.core.dispatch.Cancel(now, k) })
+	found, _ = callCore(ctx, e, func(now time.Time) bool { return e.core.dispatch.Cancel(now, k) })
 	if found {
 		return true
 	}
-	for _, c := range e.others() {
+	for _, c := range e.otherClients() {
 		args := wire.CancelArgs{Key: k}
 		rep, err := wire.Call[wire.CancelArgs, wire.CancelReply](ctx, c, wire.EntryCancel, &args)
 		if err == nil && rep.Found {
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -11,49 +11,49 @@
 )
 
 const (
-	watchPrefix  = "masticbay/"
-	longestWait  = 30 * time.Second
-	firstWatch   = 100 * time.Millisecond
-	longestWatch = 5 * time.Second
+	watchPrefix         = "masticbay/"
+	maxWatchWait        = 30 * time.Second
+	watchInitialBackoff = 100 * time.Millisecond
+	watchMaxBackoff     = 5 * time.Second
 )
 
-// watchDuty follows the registry and the table in the key-value service. Only
-// one entry of each data centre does; the others learn from their peers.
+// watchDuty watches the registry and the table in the key-value service. Only
+// one entry of each data centre does; the others get updates from their peers.
 func (e *Entry) watchDuty() {
-	pause := backoff{first: firstWatch, longest: longestWatch}
-	var after uint64
+	delays := backoff{initial: watchInitialBackoff, limit: watchMaxBackoff}
+	var lastRevision uint64
 	for {
 		if !e.isWatcher() {
-			after = 0
+			lastRevision = 0
 			if !e.sleep(e.cfg.Policy.PeerInterval.D()) {
 				return
 			}
 			continue
 		}
-		rev, err := e.watchOnce(after)
+		rev, err := e.watchOnce(lastRevision)
 		if err == nil {
-			after = rev
-			pause.reset()
+			lastRevision = rev
+			delays.reset()
 			continue
 		}
-		if !e.sleep(pause.next()) {
+		if !e.sleep(delays.next()) {
 			return
 		}
 	}
 }
 
-// isWatcher reports whether this entry is the first of its data centre that is
-// in contact, or not listed yet.
+// isWatcher reports whether this entry watches the key-value service: it is the
+// first of its data centre that is in contact, or not listed yet.
 func (e *Entry) isWatcher() bool {
-	yes, err := ask(context.Background(), e, func(now time.Time) bool {
-		contact := contactIntervals * e.cfg.Policy.PeerInterval.D()
+	yes, err := callCore(context.Background(), e, func(now time.Time) bool {
+		contactTimeout := contactTimeoutIntervals * e.cfg.Policy.PeerInterval.D()
 		reg := e.core.members.Registry()
 		if _, listed := reg.Entry(e.id); !listed {
 			return true
 		}
 		for _, p := range reg.Entries {
-			at, ok := e.core.members.LastContact(p.ID)
-			if p.DataCentre == e.cfg.Common.DataCentre && p.ID < e.id && ok && now.Sub(at) < contact {
+			lastContact, known := e.core.members.LastContact(p.ID)
+			if p.DataCentre == e.cfg.Common.DataCentre && p.ID < e.id && known && now.Sub(lastContact) < contactTimeout {
 				return false
 			}
 		}
@@ -72,30 +72,30 @@
 		case <-ctx.Done():
 		}
 	}()
-	begin := e.clock.Now()
+	requestedAt := e.clock.Now()
 	items, rev, err := e.store.Watch(ctx, watchPrefix, after, e.watchWait())
 	if err != nil {
 		return 0, err
 	}
 	reg, rows, err := decodeState(items)
 	if err != nil {
-		e.log.Error().Err(err).Msg("the key-value service holds what can not be read")
+		e.log.Error().Err(err).Msg("decoding the registry or the table failed")
 		return 0, err
 	}
 	e.post(func(now time.Time) {
-		e.learn(now, reg, rows, latest(rows))
-		e.core.members.Refresh(begin)
+		e.mergeState(now, reg, rows, latestRevision(rows))
+		e.core.members.Refresh(requestedAt)
 	})
 	return rev, nil
 }
 
-// watchWait returns how long a watch waits for news: short against the time in
-// which the registry must be known to be the newest.
+// watchWait returns how long a watch waits for changes. It is short against the
+// retention, within which the registry must be confirmed as the newest.
 func (e *Entry) watchWait() time.Duration {
-	return min(longestWait, e.cfg.Policy.Retention()/watchesInRetention)
+	return min(maxWatchWait, e.cfg.Policy.Retention()/watchesPerRetention)
 }
 
-const watchesInRetention = 8
+const watchesPerRetention = 8
 
 func decodeState(items []store.Item) (reg *member.Registry, rows []table.Row, err error) {
 	var tableItems []store.Item
@@ -114,16 +114,16 @@
 	return reg, rows, err
 }
 
-func latest(rows []table.Row) (rev uint64) {
+func latestRevision(rows []table.Row) (rev uint64) {
 	for i := range rows {
 		rev = max(rev, rows[i].Revision)
 	}
 	return rev
 }
 
-// tableChanged brings the limits in line with the table. It runs in the core
-// duty.
-func (e *Entry) tableChanged(now time.Time) {
+// applyTable sets the limits to those of a changed table. It runs in the core
+// loop.
+func (e *Entry) applyTable(now time.Time) {
 	e.log.Info().Uint64("revision", e.rows.Current().Revision()).Msg("table changed")
 	e.applyLimits(now)
 }
--- a/entry/web.go
+++ b/entry/web.go
@@ -12,7 +12,7 @@
 	"masticbay/web"
 )
 
-// newWeb returns the HTTP server; each kind of request has a file of its own.
+// newWeb returns the HTTP server, or nil without an HTTP address.
 func (e *Entry) newWeb() (*web.Server, error) {
 	if e.cfg.HTTP == "" {
 		return nil, nil
@@ -43,12 +43,12 @@
 type Problem struct {
 	Code       string     `json:"code"`
 	Message    string     `json:"message"`
-	Started    string     `json:"started"` // "nothing" or "unknown"
+	Started    string     `json:"started"` // startedNothing or startedUnknown
 	RetryAfter float64    `json:"retryAfterSeconds,omitempty"`
 	Current    *table.Row `json:"current,omitempty"` // the row, after a conflict
 }
 
-// What a Problem says about tasks of the request.
+// Values of Problem.Started: what is known about the tasks of the request.
 const (
 	startedNothing = "nothing"
 	startedUnknown = "unknown"
@@ -78,7 +78,8 @@
 	web.Reply(w, http.StatusInternalServerError, Problem{Code: "unknown", Message: err.Error(), Started: startedUnknown})
 }
 
-func refuse(w http.ResponseWriter, code job.Code, message string) {
+// failWith writes a refusal with a code as a Problem.
+func failWith(w http.ResponseWriter, code job.Code, message string) {
 	fail(w, &job.RefusedError{Code: code, Message: message})
 }
 
--- a/entry/web_end.go
+++ b/entry/web_end.go
@@ -12,20 +12,21 @@
 // EndReply is the reply of POST /v1/entries/ID/end.
 type EndReply struct {
 	Entry string `json:"entry"`
-	News  bool   `json:"news"` // it was not known to have ended
+	IsNew bool   `json:"news"` // whether the entry was not known to have ended
 }
 
-// handleEnd takes an operator's word that a listed entry has ended for good.
+// handleEnd declares, on behalf of an operator, that a listed entry has ended
+// for good.
 func (e *Entry) handleEnd(w http.ResponseWriter, r *http.Request) {
 	id := pathvar.Vars(r)["id"]
-	if _, listed := e.view.Load().Entry(id); !listed || id == e.id {
-		refuse(w, job.NotFound, "no other entry "+id+" is listed")
+	if _, listed := e.registry.Load().Entry(id); !listed || id == e.id {
+		failWith(w, job.NotFound, "no other entry "+id+" is listed")
 		return
 	}
-	news, err := e.End(r.Context(), id)
+	isNew, err := e.End(r.Context(), id)
 	if err != nil {
 		fail(w, err)
 		return
 	}
-	web.Reply(w, http.StatusOK, EndReply{Entry: id, News: news})
+	web.Reply(w, http.StatusOK, EndReply{Entry: id, IsNew: isNew})
 }
--- a/entry/web_lookup.go
+++ b/entry/web_lookup.go
@@ -11,7 +11,7 @@
 func (e *Entry) handleLookup(w http.ResponseWriter, r *http.Request) {
 	ans, found := e.Lookup(r.Context(), pathKey(r), r.URL.Query().Get("wait") == "true")
 	if !found {
-		refuse(w, job.NotFound, "no such job is known here; it may have ended longer ago than answers are kept")
+		failWith(w, job.NotFound, "no such job is known here; it may have ended longer ago than answers are kept")
 		return
 	}
 	web.Reply(w, http.StatusOK, ans)
--- a/entry/web_status.go
+++ b/entry/web_status.go
@@ -18,7 +18,7 @@
 type StatusReply struct {
 	Entry         string            `json:"entry"`
 	DataCentre    string            `json:"dataCentre"`
-	Settled       bool              `json:"settled"` // jobs run without claims
+	Settled       bool              `json:"settled"` // jobs whose home is this entry run without claims
 	Ready         bool              `json:"ready"`   // jobs that are not idempotent run here
 	Stopping      bool              `json:"stopping"`
 	OpenJobs      int               `json:"openJobs"`
@@ -66,12 +66,12 @@
 	web.Reply(w, http.StatusOK, st)
 }
 
-// Status describes the entry and what it knows.
+// Status returns the state of the entry and of the members it knows.
 func (e *Entry) Status(ctx context.Context) (st StatusReply, err error) {
-	return ask(ctx, e, e.describe)
+	return callCore(ctx, e, e.describe)
 }
 
-// describe runs in the core duty.
+// describe builds the reply of Status. It runs in the core loop.
 func (e *Entry) describe(now time.Time) StatusReply {
 	reg := e.core.members.Registry()
 	st := StatusReply{
@@ -79,7 +79,7 @@
 		DataCentre:    e.cfg.Common.DataCentre,
 		Settled:       e.core.members.Settled(now),
 		Ready:         e.core.members.MayRun(now),
-		Stopping:      e.refusing.Load(),
+		Stopping:      e.stopping.Load(),
 		OpenJobs:      e.core.dispatch.Open(),
 		TableRevision: e.rows.Current().Revision(),
 		Registry:      reg.Revision,
@@ -113,7 +113,7 @@
 	return s
 }
 
-func agentState(a *dispatch.AgentState) (state, why string) {
+func agentState(a *dispatch.AgentState) (state, reason string) {
 	switch {
 	case !a.Reachable:
 		return "unreachable", "its last call failed"
@@ -134,15 +134,15 @@
 }
 
 func (e *Entry) handleHealth(w http.ResponseWriter, _ *http.Request) {
-	if e.refusing.Load() {
+	if e.stopping.Load() {
 		http.Error(w, "stopping", http.StatusServiceUnavailable)
 		return
 	}
 	web.Reply(w, http.StatusOK, "ok")
 }
 
-// ForceReply is the reply of GET /v1/force?revision=N: how many processes have
-// that revision of the table in force.
+// ForceReply is the reply of GET /v1/force?revision=N: how many processes apply
+// that revision of the table or a newer one.
 type ForceReply struct {
 	Revision uint64   `json:"revision"`
 	InForce  int      `json:"inForce"`
@@ -150,7 +150,7 @@
 	Missing  []string `json:"missing,omitempty"`
 }
 
-// handleForce asks every known process for the table revision it acts on.
+// handleForce asks every known process for the table revision that it applies.
 func (e *Entry) handleForce(w http.ResponseWriter, r *http.Request) {
 	want, err := strconv.ParseUint(r.URL.Query().Get("revision"), 10, 64)
 	if err != nil {
@@ -170,10 +170,10 @@
 	web.Reply(w, http.StatusOK, rep)
 }
 
-// tableRevisions returns the revision in force at each known process; 0 where
-// it is not known.
+// tableRevisions returns the table revision in force at each known process, or 0
+// where it is unknown.
 func (e *Entry) tableRevisions(ctx context.Context) map[string]uint64 {
-	revs, err := ask(ctx, e, func(time.Time) map[string]uint64 {
+	revs, err := callCore(ctx, e, func(time.Time) map[string]uint64 {
 		revs := map[string]uint64{e.id: e.rows.Current().Revision()}
 		for _, p := range e.core.members.Registry().Entries {
 			if p.ID != e.id {
@@ -190,7 +190,7 @@
 	if err != nil {
 		return nil
 	}
-	for _, c := range e.others() {
+	for _, c := range e.otherClients() {
 		addPeerRevisions(ctx, c, revs)
 	}
 	return revs
--- a/entry/web_submit.go
+++ b/entry/web_submit.go
@@ -21,7 +21,7 @@
 	Service      string        `json:"service"`
 	Idempotent   bool          `json:"idempotent"`
 	Resubmission bool          `json:"resubmission"`
-	DeadlineMS   int64         `json:"deadlineMillis"` // 0 for the longest
+	DeadlineMS   int64         `json:"deadlineMillis"` // 0 for the longest allowed
 	Tasks        []TaskRequest `json:"tasks"`
 	NoWait       bool          `json:"noWait"` // reply as soon as the job is accepted
 }
@@ -56,8 +56,8 @@
 	web.Reply(w, http.StatusOK, ans)
 }
 
-// submitLater replies once the job is accepted, which is when it is neither
-// refused nor answered within a short time.
+// submitLater replies as soon as the job counts as accepted: when it was neither
+// refused nor answered within acceptTimeout.
 func (e *Entry) submitLater(w http.ResponseWriter, r *http.Request, spec job.Spec) {
 	type result struct {
 		ans job.Answer
@@ -75,15 +75,15 @@
 			return
 		}
 		web.Reply(w, http.StatusOK, res.ans)
-	case <-time.After(acceptWait):
+	case <-time.After(acceptTimeout):
 		web.Reply(w, http.StatusAccepted, Accepted{Key: spec.Key, Status: job.Running})
 	}
 }
 
-// acceptWait is longer than a refusal takes, also through a forward.
-const acceptWait = 100 * time.Millisecond
+// acceptTimeout is longer than a refusal takes, even through a forward.
+const acceptTimeout = 100 * time.Millisecond
 
-// readSubmission reads and checks a submission. Its errors are refusals.
+// readSubmission reads and validates a submission. All its errors are refusals.
 func (e *Entry) readSubmission(r *http.Request) (spec job.Spec, noWait bool, err error) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -103,7 +103,7 @@
 	return spec, req.NoWait, spec.Validate(limits)
 }
 
-func (req *SubmitRequest) spec(longest time.Duration) job.Spec {
+func (req *SubmitRequest) spec(maxDeadline time.Duration) job.Spec {
 	spec := job.Spec{
 		Key:          job.MakeKey(req.Team, req.Key),
 		Team:         req.Team,
@@ -114,7 +114,7 @@
 		Tasks:        make([]job.Task, len(req.Tasks)),
 	}
 	if req.DeadlineMS == 0 {
-		spec.Deadline = longest
+		spec.Deadline = maxDeadline
 	}
 	for i, t := range req.Tasks {
 		spec.Tasks[i] = job.Task{Payload: t.Payload, Size: time.Duration(t.SizeMS * float64(time.Millisecond))}
--- a/entry/web_table.go
+++ b/entry/web_table.go
@@ -24,8 +24,8 @@
 	web.Reply(w, http.StatusOK, rows)
 }
 
-// handleTableGet reads one row from the key-value service, or, while that does
-// not answer, what is in force here.
+// handleTableGet reads one row from the key-value service. While that does not
+// answer, it returns the row in force here.
 func (e *Entry) handleTableGet(w http.ResponseWriter, r *http.Request) {
 	kind, name := pathRow(r)
 	row, err := e.editor.Get(r.Context(), kind, name)
@@ -33,7 +33,7 @@
 		row, _ = e.rows.Current().Row(kind, name)
 	}
 	if row.Revision == 0 {
-		refuse(w, job.NotFound, "no row "+row.ID())
+		failWith(w, job.NotFound, "no row "+row.ID())
 		return
 	}
 	web.Reply(w, http.StatusOK, row)
@@ -57,19 +57,19 @@
 
 // handleTableSet edits one row.
 func (e *Entry) handleTableSet(w http.ResponseWriter, r *http.Request) {
-	var ed RowEdit
+	var edit RowEdit
 	dec := json.NewDecoder(r.Body)
 	dec.DisallowUnknownFields()
-	if err := dec.Decode(&ed); err != nil {
-		refuse(w, job.Invalid, "malformed body: "+err.Error())
+	if err := dec.Decode(&edit); err != nil {
+		failWith(w, job.Invalid, "malformed body: "+err.Error())
 		return
 	}
 	kind, name := pathRow(r)
 	row := table.Row{
-		Kind: kind, Name: name, Weight: ed.Weight, Limit: ed.Limit,
-		Drain: ed.Drain, Removed: ed.Removed, Author: ed.Author,
+		Kind: kind, Name: name, Weight: edit.Weight, Limit: edit.Limit,
+		Drain: edit.Drain, Removed: edit.Removed, Author: edit.Author,
 	}
-	row, err := e.editor.Set(r.Context(), table.Edit{Row: row, Base: ed.Base})
+	row, err := e.editor.Set(r.Context(), table.Edit{Row: row, Base: edit.Base})
 	if err != nil {
 		failEdit(w, err)
 		return
@@ -85,7 +85,7 @@
 		return
 	}
 	if bad, ok := errors.AsType[*job.ValueError](err); ok {
-		refuse(w, job.Invalid, bad.Error())
+		failWith(w, job.Invalid, bad.Error())
 		return
 	}
 	if _, ok := errors.AsType[*table.UncertainError](err); ok {
