--- a/member/member_test.go
+++ b/member/member_test.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	window  = time.Minute
-	contact = 3 * time.Second
+	window         = time.Minute
+	contactTimeout = 3 * time.Second
 )
 
-var begin = time.Unix(1_000_000, 0)
+var start = time.Unix(1_000_000, 0)
 
-// with returns a registry of entries.
-func with(rev uint64, ids ...string) member.Registry {
+// registryOf returns a registry of entries.
+func registryOf(rev uint64, ids ...string) member.Registry {
 	r := member.Registry{Revision: rev}
 	for _, id := range ids {
 		r.Entries = append(r.Entries, member.Entry{ID: id})
@@ -24,8 +24,8 @@
 	return r
 }
 
-// nameOf returns a name whose home in r is the entry.
-func nameOf(r member.Registry, entry string) string {
+// nameWithHome returns a name whose home in r is the entry.
+func nameWithHome(r member.Registry, entry string) string {
 	for i := range 1000 {
 		name := fmt.Sprint("name", i)
 		if home, _ := r.Home(name); home.ID == entry {
@@ -35,12 +35,12 @@
 	return ""
 }
 
-// settled returns the view of e1 long after e1 and e2 were listed.
-func settled() (v *member.View, now time.Time) {
-	v = member.NewView("e1", window, contact, begin)
-	r := with(1, "e1", "e2")
-	v.Update(begin, r)
-	for now = begin; now.Before(begin.Add(2 * window)); now = now.Add(time.Second) {
+// settledView returns the view of e1 two windows after e1 and e2 were listed.
+func settledView() (v *member.View, now time.Time) {
+	v = member.NewView("e1", window, contactTimeout, start)
+	r := registryOf(1, "e1", "e2")
+	v.Update(start, r)
+	for now = start; now.Before(start.Add(2 * window)); now = now.Add(time.Second) {
 		v.Confirm(now, "e2", r.EntriesHash())
 		v.Observe(now)
 	}
@@ -48,51 +48,51 @@
 }
 
 func TestHomeRunsWithoutClaimOnceSettled(t *testing.T) {
-	v, now := settled()
-	if v.MustClaim(now, nameOf(*v.Registry(), "e1")) {
-		t.Error("the home must claim its own job")
+	v, now := settledView()
+	if v.MustClaim(now, nameWithHome(*v.Registry(), "e1")) {
+		t.Error("the home must claim its own job although it is settled")
 	}
-	if !v.MustClaim(now, nameOf(*v.Registry(), "e2")) {
-		t.Error("another entry need not claim")
+	if !v.MustClaim(now, nameWithHome(*v.Registry(), "e2")) {
+		t.Error("an entry that is not the home need not claim")
 	}
-	fresh := member.NewView("e1", window, contact, now)
-	fresh.Update(now, with(1, "e1", "e2"))
-	fresh.Confirm(now, "e2", fresh.Registry().EntriesHash())
-	if !fresh.MustClaim(now, nameOf(*v.Registry(), "e1")) || !fresh.Introduced(now) {
-		t.Error("an entry that just joined need not claim, or is not introduced")
+	joined := member.NewView("e1", window, contactTimeout, now)
+	joined.Update(now, registryOf(1, "e1", "e2"))
+	joined.Confirm(now, "e2", joined.Registry().EntriesHash())
+	if !joined.MustClaim(now, nameWithHome(*v.Registry(), "e1")) || !joined.Introduced(now) {
+		t.Error("an entry that just joined need not claim, or is not known to all")
 	}
 }
 
 func TestKeysThatMovedAreClaimedForAWindow(t *testing.T) {
-	v, now := settled()
+	v, now := settledView()
 	before := *v.Registry()
-	moved := nameOf(before, "e2")
-	after := with(2, "e1")
+	moved := nameWithHome(before, "e2")
+	after := registryOf(2, "e1")
 	v.Update(now, after)
 	if !v.MustClaim(now, moved) {
-		t.Error("a key of the removed entry is not claimed")
+		t.Error("a key of the removed entry need not be claimed")
 	}
-	if v.MustClaim(now, nameOf(before, "e1")) {
-		t.Error("a key that did not move is claimed")
+	if v.MustClaim(now, nameWithHome(before, "e1")) {
+		t.Error("a key that did not move must be claimed")
 	}
 	if now = now.Add(window + time.Second); v.MustClaim(now, moved) {
-		t.Error("a moved key is claimed for ever")
+		t.Error("a moved key must be claimed for longer than a window")
 	}
 }
 
-func TestSilentPeerForcesClaimsBeforeItCanRemoveUs(t *testing.T) {
-	v, now := settled()
-	own := nameOf(*v.Registry(), "e1")
+func TestPeerOutOfContactForcesClaimsBeforeItCanRemoveThisEntry(t *testing.T) {
+	v, now := settledView()
+	own := nameWithHome(*v.Registry(), "e1")
 	if v.MustClaim(now.Add(window/2), own) || !v.Isolated(now.Add(window/2)) {
-		t.Error("a short silence forces claims, or is not noticed")
+		t.Error("half a window without contact forces claims, or does not isolate the entry")
 	}
 	if !v.MustClaim(now.Add(window), own) {
-		t.Error("a silence of a window does not force claims")
+		t.Error("a window without contact does not force claims")
 	}
 }
 
-// sweep lets a watchdog have its way for several windows. It returns the kinds of
-// its changes, and the time after them.
+// sweep applies a watchdog's changes for several windows. It returns their kinds
+// and the time after them.
 func sweep(now time.Time, w *member.Watchdog, v *member.View, each func(now time.Time)) (kinds []string, end time.Time) {
 	for range 200 {
 		now = now.Add(time.Second)
@@ -106,76 +106,79 @@
 	return kinds, now
 }
 
-func TestSilentEntryIsLostAndThenForgotten(t *testing.T) {
-	v, now := settled()
+func TestEntryOutOfContactIsLostAndThenExpires(t *testing.T) {
+	v, now := settledView()
 	got, _ := sweep(now, member.NewWatchdog("e1", window), v, func(now time.Time) {
 		if lost := len(v.Registry().Lost) > 0; lost && !v.Isolated(now) {
-			t.Fatal("claims may do without the agents although an entry is lost")
+			t.Fatal("the entry is not isolated although another one is lost")
 		}
 	})
-	if want := "[member.LoseEntry member.ForgetEntry]"; fmt.Sprint(got) != want {
+	if want := "[member.MarkEntryLost member.ExpireEntry]"; fmt.Sprint(got) != want {
 		t.Errorf("changes were %v, want %s", got, want)
 	}
 }
 
-// TestEntryThatMayBeGivenUpStops: only with a silent peer and an old registry
-// does an entry stop to run jobs that are not idempotent.
-func TestEntryThatMayBeGivenUpStops(t *testing.T) {
-	for _, tc := range []struct{ silent, fresh, want bool }{
-		{silent: false, fresh: false, want: true}, {silent: true, fresh: true, want: true}, {silent: true, fresh: false, want: false},
+// TestEntryThatMayBeRemovedStops checks that an entry stops running jobs that are
+// not idempotent only if a peer is out of contact and the registry is old.
+func TestEntryThatMayBeRemovedStops(t *testing.T) {
+	for _, tc := range []struct{ outOfContact, refreshed, want bool }{
+		{outOfContact: false, refreshed: false, want: true},
+		{outOfContact: true, refreshed: true, want: true},
+		{outOfContact: true, refreshed: false, want: false},
 	} {
-		v, now := settled()
+		v, now := settledView()
 		now = now.Add(window)
-		if !tc.silent {
+		if !tc.outOfContact {
 			v.Confirm(now, "e2", v.Registry().EntriesHash())
 		}
-		if tc.fresh {
+		if tc.refreshed {
 			v.Refresh(now.Add(-window / 2))
 		}
 		if got := v.MayRun(now); got != tc.want {
-			t.Errorf("silent peer %t, fresh registry %t: may run %t", tc.silent, tc.fresh, got)
+			t.Errorf("peer out of contact %t, registry refreshed %t: may run %t", tc.outOfContact, tc.refreshed, got)
 		}
 	}
 }
 
-// TestEntryAloneStopsWithAnOldRegistry: entries that joined behind a cut may have
-// given up an entry that knows no peer.
+// TestEntryAloneStopsWithAnOldRegistry checks that an entry that knows no peer
+// stops when its registry is old: entries that joined on the other side of a
+// network partition may have removed it.
 func TestEntryAloneStopsWithAnOldRegistry(t *testing.T) {
-	v := member.NewView("e1", window, contact, begin)
-	v.Update(begin, with(1, "e1"))
-	v.Refresh(begin)
-	if !v.MayRun(begin.Add(window / 2)) {
-		t.Error("stops although its registry is fresh")
+	v := member.NewView("e1", window, contactTimeout, start)
+	v.Update(start, registryOf(1, "e1"))
+	v.Refresh(start)
+	if !v.MayRun(start.Add(window / 2)) {
+		t.Error("the entry stops although its registry is fresh")
 	}
-	if v.MayRun(begin.Add(window)) {
-		t.Error("runs jobs although it may have been given up")
+	if v.MayRun(start.Add(window)) {
+		t.Error("the entry runs jobs although it may have been removed")
 	}
 }
 
-func TestSilentAgentIsSuspendedAndThenRemoved(t *testing.T) {
-	v := member.NewView("e1", window, contact, begin)
+func TestAgentOutOfContactIsSuspendedAndThenRemoved(t *testing.T) {
+	v := member.NewView("e1", window, contactTimeout, start)
 	w := member.NewWatchdog("e1", window)
-	r := with(1, "e1")
+	r := registryOf(1, "e1")
 	r, _ = r.With([]member.Change{member.AddAgent{Agent: member.Agent{ID: "a1", Service: "s"}}})
-	v.Update(begin, r)
-	w.Announced(begin, "a1")
-	got, now := sweep(begin, w, v, func(time.Time) {})
+	v.Update(start, r)
+	w.Announced(start, "a1")
+	got, removedAt := sweep(start, w, v, func(time.Time) {})
 	if want := "[member.SuspendAgent member.RemoveAgent]"; fmt.Sprint(got) != want {
 		t.Errorf("changes were %v, want %s", got, want)
 	}
-	if gone := now.Sub(begin); gone < 2*window {
-		t.Errorf("removed after %v", gone)
+	if after := removedAt.Sub(start); after < 2*window {
+		t.Errorf("the agent was removed after %v, want at least %v", after, 2*window)
 	}
 }
 
-func TestHeirsAreFollowed(t *testing.T) {
-	r := with(1, "e1")
-	var cs []member.Change
+func TestHeirFollowsChainOfSuccessors(t *testing.T) {
+	r := registryOf(1, "e1")
+	var changes []member.Change
 	for _, id := range []string{"a1", "a2", "a3"} {
-		cs = append(cs, member.AddAgent{Agent: member.Agent{ID: id}})
+		changes = append(changes, member.AddAgent{Agent: member.Agent{ID: id}})
 	}
-	cs = append(cs, member.RemoveAgent{ID: "a1", Heir: "a2"}, member.RemoveAgent{ID: "a2", Heir: "a3"})
-	r, _ = r.With(cs)
+	changes = append(changes, member.RemoveAgent{ID: "a1", Heir: "a2"}, member.RemoveAgent{ID: "a2", Heir: "a3"})
+	r, _ = r.With(changes)
 	if heir, ok := r.Heir("a1"); !ok || heir != "a3" {
 		t.Errorf("the heir of a1 is %q", heir)
 	}
--- a/member/registry.go
+++ b/member/registry.go
@@ -1,22 +1,22 @@
-// Package member keeps track of the entries and agents of the system without
-// a coordination service of its own.
+// Package member tracks the entries and agents of the system and decides which
+// entry may run a job. It has no coordination service of its own.
 //
 // # Model
 //
 // The Registry is one document in the platform's key-value service. It lists
-// the entries and the agents that count for safety, and grows a revision with
-// each change. It is written when a process joins, leaves with a hand-over, or
-// has been out of contact for a retention window; never for a job. Between
-// writes it spreads from entry to entry by messages that flow anyway, so that
+// the entries and agents that the safety rules count, and its revision grows
+// with each change. It is written when a process joins, leaves with a handover,
+// or has been out of contact for a retention window; never for a job. Between
+// writes the entries pass it on in messages that they exchange anyway, so that
 // an outage of the service delays joins and nothing else.
 //
-// The home of a job is the listed entry that wins the rendezvous hash of the
-// job's home name. View decides whether an entry may run a job without a claim: only
-// if it was the home of the job in every registry of the last window, and if
-// every listed peer has confirmed one of these registries within the window.
-// In all other cases it claims the job first (package claim). An entry that
-// died does not change this until it is removed from the list, which moves
-// its keys only.
+// The home of a job, the entry that coordinates it, is the listed entry that
+// wins the rendezvous hash of the job's home name. An entry may run a job
+// without a claim only if it was the job's home in every registry of the last
+// window, and if every listed peer has confirmed one of these registries within
+// the window; View decides this. In all other cases the entry claims the job
+// first (package claim). The crash of an entry changes no home until the entry
+// is removed from the list; then only the keys of that entry move.
 //
 // Registry values are immutable once shared. View is not safe for concurrent
 // use.
@@ -37,7 +37,7 @@
 	"github.com/juju/errors"
 )
 
-// RegistryKey is where the registry lives in the key-value service.
+// RegistryKey is the registry's key in the key-value service.
 const RegistryKey = "masticbay/registry"
 
 // Entry is a listed entry.
@@ -55,19 +55,19 @@
 	Service    string `json:"service"`
 	Target     string `json:"target"`
 	DataCentre string `json:"dataCentre"`
-	Joined     uint64 `json:"joined"` // revision that listed it first
+	Joined     uint64 `json:"joined"` // revision that first listed the agent
 	Suspended  bool   `json:"suspended,omitempty"`
 }
 
-// Successor tells that the records of an agent are now with another.
+// Successor records which agent holds the records of one that has left.
 type Successor struct {
 	Agent string `json:"agent"` // incarnation that has left
-	Heir  string `json:"heir"`  // incarnation that answers for it
+	Heir  string `json:"heir"`  // successor: the incarnation that holds its records
 }
 
-// Registry is the list of members as of one revision. Lost are the entries that
-// were removed without a hand-over: what they dispatched still matters, and
-// nobody but the agents can tell of it.
+// Registry is the list of members as of one revision. Lost holds the entries
+// that were removed without a handover: tasks that they dispatched may still
+// run, and only the agents know of these.
 type Registry struct {
 	Revision   uint64      `json:"revision"`
 	Entries    []Entry     `json:"entries"`
@@ -76,7 +76,7 @@
 	Successors []Successor `json:"successors"`
 }
 
-// Decode reads a registry from its document; an empty document is an empty
+// Decode parses the registry's document. An empty document gives an empty
 // registry.
 func Decode(value []byte) (r Registry, err error) {
 	if len(value) == 0 {
@@ -86,12 +86,12 @@
 	return r, err
 }
 
-// Encode writes the registry's document.
+// Encode returns the registry's document.
 func (r *Registry) Encode() ([]byte, error) {
 	return json.Marshal(r)
 }
 
-// Entry returns a listed entry.
+// Entry returns the listed entry with an ID.
 func (r *Registry) Entry(id string) (Entry, bool) {
 	i := slices.IndexFunc(r.Entries, func(e Entry) bool { return e.ID == id })
 	if i < 0 {
@@ -100,7 +100,7 @@
 	return r.Entries[i], true
 }
 
-// Agent returns a listed agent.
+// Agent returns the listed agent with an ID.
 func (r *Registry) Agent(id string) (Agent, bool) {
 	i := slices.IndexFunc(r.Agents, func(a Agent) bool { return a.ID == id })
 	if i < 0 {
@@ -109,7 +109,8 @@
 	return r.Agents[i], true
 }
 
-// Heir returns the incarnation that answers for an agent that has left.
+// Heir returns the listed agent that holds the records of one that has left. It
+// follows the chain of successors.
 func (r *Registry) Heir(id string) (string, bool) {
 	for range r.Successors {
 		i := slices.IndexFunc(r.Successors, func(s Successor) bool { return s.Agent == id })
@@ -124,13 +125,13 @@
 	return "", false
 }
 
-// Change is one edit of the registry. Apply reports whether it changes r.
+// Change is one edit of the registry. Apply reports whether it changed r.
 type Change interface {
 	Apply(r *Registry) bool
 }
 
-// With returns the registry after changes, with the next revision, or reports
-// false if they change nothing.
+// With returns the registry after changes, with the next revision, and reports
+// whether they changed anything.
 func (r *Registry) With(changes []Change) (Registry, bool) {
 	next := Registry{
 		Revision:   r.Revision + 1,
@@ -156,53 +157,53 @@
 	if _, ok := r.Entry(c.Entry.ID); ok {
 		return false
 	}
-	r.Lost = without(r.Lost, c.Entry.ID)
+	r.Lost = withoutEntry(r.Lost, c.Entry.ID)
 	r.Entries = append(r.Entries, c.Entry)
 	return true
 }
 
-// without returns the entries but one.
-func without(es []Entry, id string) []Entry {
+// withoutEntry removes the entry with an ID from es.
+func withoutEntry(es []Entry, id string) []Entry {
 	return slices.DeleteFunc(es, func(e Entry) bool { return e.ID == id })
 }
 
-// RemoveEntry removes an entry that has handed over what it remembers.
+// RemoveEntry removes an entry that has handed over its records of jobs.
 type RemoveEntry struct{ ID string }
 
 // Apply implements Change.
 func (c RemoveEntry) Apply(r *Registry) bool {
 	n := len(r.Entries) + len(r.Lost)
-	r.Entries = without(r.Entries, c.ID)
-	r.Lost = without(r.Lost, c.ID)
+	r.Entries = withoutEntry(r.Entries, c.ID)
+	r.Lost = withoutEntry(r.Lost, c.ID)
 	return len(r.Entries)+len(r.Lost) < n
 }
 
-// LoseEntry removes an entry that has been out of contact. It may have run
-// jobs until now.
-type LoseEntry struct{ ID string }
+// MarkEntryLost moves an entry that has been out of contact to the lost ones. It
+// may have run jobs until now.
+type MarkEntryLost struct{ ID string }
 
 // Apply implements Change.
-func (c LoseEntry) Apply(r *Registry) bool {
+func (c MarkEntryLost) Apply(r *Registry) bool {
 	e, ok := r.Entry(c.ID)
 	if !ok {
 		return false
 	}
-	r.Entries = without(r.Entries, c.ID)
+	r.Entries = withoutEntry(r.Entries, c.ID)
 	r.Lost = append(r.Lost, e)
 	return true
 }
 
-// ForgetEntry ends the time for which the dispatches of a lost entry matter.
-type ForgetEntry struct{ ID string }
+// ExpireEntry removes a lost entry whose dispatches can no longer have effects.
+type ExpireEntry struct{ ID string }
 
 // Apply implements Change.
-func (c ForgetEntry) Apply(r *Registry) bool {
+func (c ExpireEntry) Apply(r *Registry) bool {
 	n := len(r.Lost)
-	r.Lost = without(r.Lost, c.ID)
+	r.Lost = withoutEntry(r.Lost, c.ID)
 	return len(r.Lost) < n
 }
 
-// AddAgent lists an agent as of the revision that is being made.
+// AddAgent lists an agent, with the new revision as the one it joined at.
 type AddAgent struct{ Agent Agent }
 
 // Apply implements Change.
@@ -215,10 +216,10 @@
 	return true
 }
 
-// SuspendAgent marks an agent to which no new work is sent, because it can not
-// be reached, or takes the mark back. Claims still ask it. It may be removed
-// only after it has been suspended for a window: until then an entry that has
-// not seen the mark may have started tasks there.
+// SuspendAgent suspends an agent that can not be reached, or ends its
+// suspension. A suspended agent gets no new work, but claims still ask it. It
+// may be removed only after it has been suspended for a window: until then an
+// entry that does not know of the suspension may have started tasks there.
 type SuspendAgent struct {
 	ID string
 	On bool
@@ -236,10 +237,10 @@
 }
 
 // RemoveAgent removes an agent. Heir is the incarnation that took over its
-// records, or empty if they are lost.
+// records; it is empty if the records are lost.
 type RemoveAgent struct{ ID, Heir string }
 
-// maxSuccessors bounds the remembered hand-overs.
+// maxSuccessors bounds the list of successors.
 const maxSuccessors = 1000
 
 // Apply implements Change.
@@ -256,19 +257,20 @@
 	return true
 }
 
-// Home returns the entry that jobs with a home name belong to.
+// Home returns the home of the jobs with a home name: the listed entry with the
+// highest score. It reports false if no entry is listed.
 func (r *Registry) Home(name string) (home Entry, ok bool) {
 	var best uint64
 	for _, e := range r.Entries {
-		if h := Score(e.ID, name); !ok || h > best {
-			home, best, ok = e, h, true
+		if score := Score(e.ID, name); !ok || score > best {
+			home, best, ok = e, score, true
 		}
 	}
 	return home, ok
 }
 
-// Rank returns the entries in the order of preference for a name, the best
-// first. Each entry loses only its own names when it leaves.
+// Rank returns the entries by descending score for a name, so the home comes
+// first. An entry that leaves does not change the order of the others.
 func (r *Registry) Rank(name string) []Entry {
 	es := slices.Clone(r.Entries)
 	slices.SortFunc(es, func(a, b Entry) int {
--- a/member/view.go
+++ b/member/view.go
@@ -6,58 +6,59 @@
 	"time"
 )
 
-// View is what one entry knows about who else may run a job. NewView makes
-// one.
+// View is one entry's knowledge of which other entries may run a job. NewView
+// makes one.
 type View struct {
-	self      string
-	window    time.Duration
-	contact   time.Duration
-	current   Registry
-	earlier   []heldRegistry
-	confirmed map[string]time.Time // by peer: when it confirmed the current revision
-	settled   time.Time            // since when the view has been without gaps
-	unsettled bool
+	self           string
+	window         time.Duration
+	contactTimeout time.Duration
+	current        Registry
+	previous       []previousRegistry   // replaced within the window, the oldest first
+	confirmedAt    map[string]time.Time // by peer: when it last confirmed one of the lists of the window
+	settledAt      time.Time            // from when homes need no claim, unless unsettled
+	unsettled      bool                 // at the last observation, a peer may have removed this entry
 
-	fresh      time.Time       // when the registry was the newest of the key-value service
-	gone       map[string]bool // listed entries that are known to have ended
-	introduced bool
-	knownTo    map[string]bool // peers that confirmed a list with this entry
+	newestAt       time.Time       // when the key-value service last had no newer registry
+	ended          map[string]bool // listed entries that have ended for good
+	knownToAllOnce bool
+	knownBy        map[string]bool // peers that confirmed a list that has this entry
 }
 
-type heldRegistry struct {
+// previousRegistry is a replaced registry, which counts until the window ends.
+type previousRegistry struct {
 	Registry
-	until time.Time
+	relevantUntil time.Time
 }
 
-// NewView returns the view of the entry self. A registry stops to matter when
-// it was replaced window ago. A peer counts as in contact when it confirmed the
-// registry within contact, which is short against window.
-func NewView(self string, window, contact time.Duration, now time.Time) *View {
+// NewView returns the view of the entry self. A registry counts until window
+// after it was replaced. A peer is in contact if it confirmed a list of entries
+// within contactTimeout, which is short against window.
+func NewView(self string, window, contactTimeout time.Duration, now time.Time) *View {
 	return &View{
-		self:      self,
-		window:    window,
-		contact:   contact,
-		confirmed: make(map[string]time.Time),
-		settled:   now,
-		unsettled: true,
-		knownTo:   make(map[string]bool),
-		gone:      make(map[string]bool),
+		self:           self,
+		window:         window,
+		contactTimeout: contactTimeout,
+		confirmedAt:    make(map[string]time.Time),
+		settledAt:      now,
+		unsettled:      true,
+		knownBy:        make(map[string]bool),
+		ended:          make(map[string]bool),
 	}
 }
 
 // Registry returns the newest registry.
 func (v *View) Registry() *Registry { return &v.current }
 
-// Update takes a registry over and reports whether it was newer.
+// Update replaces the registry by r if r is newer, and reports whether it was.
 func (v *View) Update(now time.Time, r Registry) bool {
 	if r.Revision <= v.current.Revision {
 		return false
 	}
 	if !sameEntries(v.current.Entries, r.Entries) {
-		v.earlier = append(v.earlier, heldRegistry{Registry: v.current, until: now.Add(v.window)})
+		v.previous = append(v.previous, previousRegistry{Registry: v.current, relevantUntil: now.Add(v.window)})
 	}
 	v.current = r
-	maps.DeleteFunc(v.gone, func(id string, _ bool) bool {
+	maps.DeleteFunc(v.ended, func(id string, _ bool) bool {
 		_, listed := r.Entry(id)
 		return !listed
 	})
@@ -76,8 +77,8 @@
 	return true
 }
 
-// EntriesHash identifies the list of entries that a view is based on. Peers
-// that hold the same list agree on the home of every key.
+// EntriesHash identifies the list of entries. Entries with the same list agree
+// on the home of every key.
 func (r *Registry) EntriesHash() uint64 {
 	var sum uint64
 	for _, e := range r.Entries {
@@ -86,54 +87,55 @@
 	return sum
 }
 
-// Confirm tells that a peer was heard from and holds the list of entries with
-// the hash. A list that this entry held within the window is as good as the
-// current one, since MustClaim looks at all of them.
+// Confirm records contact with a peer that has the list of entries with the
+// hash. A list that this entry had within the window counts like the current
+// one, since MustClaim checks all of them; any other hash is ignored.
 func (v *View) Confirm(now time.Time, peer string, hash uint64) {
-	reg := v.held(hash)
+	reg := v.findRegistry(hash)
 	if reg == nil {
 		return
 	}
-	v.confirmed[peer] = now
+	v.confirmedAt[peer] = now
 	if _, listed := reg.Entry(v.self); listed {
-		v.knownTo[peer] = true
+		v.knownBy[peer] = true
 	}
 }
 
-// held returns a registry of the window whose list of entries has the hash.
-func (v *View) held(hash uint64) *Registry {
+// findRegistry returns the registry of the window whose list of entries has the
+// hash, or nil.
+func (v *View) findRegistry(hash uint64) *Registry {
 	if hash == v.current.EntriesHash() {
 		return &v.current
 	}
-	for i := range v.earlier {
-		if hash == v.earlier[i].EntriesHash() {
-			return &v.earlier[i].Registry
+	for i := range v.previous {
+		if hash == v.previous[i].EntriesHash() {
+			return &v.previous[i].Registry
 		}
 	}
 	return nil
 }
 
-// LastContact returns when a peer last confirmed the current list.
+// LastContact returns when a peer last confirmed one of the lists of the window.
 func (v *View) LastContact(peer string) (t time.Time, ok bool) {
-	t, ok = v.confirmed[peer]
+	t, ok = v.confirmedAt[peer]
 	return t, ok
 }
 
-// silent reports whether some listed peer has not confirmed a list within
-// limit, or this entry is not listed itself.
-func (v *View) silent(now time.Time, limit time.Duration) bool {
-	return v.silentBut(nil, now, limit)
+// lacksContact reports whether some listed peer has not confirmed a list within
+// limit, or this entry itself is not listed.
+func (v *View) lacksContact(now time.Time, limit time.Duration) bool {
+	return v.lacksContactExcept(nil, now, limit)
 }
 
-// silentBut is silent for the peers that are not in except.
-func (v *View) silentBut(except map[string]bool, now time.Time, limit time.Duration) bool {
+// lacksContactExcept is lacksContact without the peers in except.
+func (v *View) lacksContactExcept(except map[string]bool, now time.Time, limit time.Duration) bool {
 	listed := false
 	for _, e := range v.current.Entries {
 		if e.ID == v.self {
 			listed = true
 			continue
 		}
-		at, ok := v.confirmed[e.ID]
+		at, ok := v.confirmedAt[e.ID]
 		if !except[e.ID] && (!ok || now.Sub(at) > limit) {
 			return true
 		}
@@ -141,144 +143,146 @@
 	return !listed
 }
 
-// gap reports whether some peer has been silent for so long that it may have
-// removed this entry from its list. It does so after a window at the earliest,
-// and then claims for another one what this entry was the home of. One that has
-// ended removes nobody.
-func (v *View) gap(now time.Time) bool {
-	return v.silentBut(v.gone, now, v.window-v.contact)
+// mayBeRemoved reports whether some peer has been out of contact for so long
+// that it may have removed this entry from its list. A peer does so after a
+// window at the earliest; then another entry is the home of this entry's jobs
+// and claims them. A peer that has ended removes no entry.
+func (v *View) mayBeRemoved(now time.Time) bool {
+	return v.lacksContactExcept(v.ended, now, v.window-v.contactTimeout)
 }
 
-// End tells that listed entries have ended for good. It reports whether that is
-// news of some of them.
-func (v *View) End(ids ...string) (news bool) {
+// End records that listed entries have ended for good. It reports whether this
+// was not known of some of them.
+func (v *View) End(ids ...string) (isNew bool) {
 	for _, id := range ids {
-		if _, listed := v.current.Entry(id); listed && id != v.self && !v.gone[id] {
-			v.gone[id] = true
-			news = true
+		if _, listed := v.current.Entry(id); listed && id != v.self && !v.ended[id] {
+			v.ended[id] = true
+			isNew = true
 		}
 	}
-	return news
+	return isNew
 }
 
 // Ended returns the listed entries that have ended for good.
-func (v *View) Ended() []string { return slices.Sorted(maps.Keys(v.gone)) }
+func (v *View) Ended() []string { return slices.Sorted(maps.Keys(v.ended)) }
 
-// Observe updates what MustClaim depends on; it is called at least once in
-// every contact interval.
+// Observe updates the state that MustClaim depends on. It must be called at
+// least once in every contact timeout.
 func (v *View) Observe(now time.Time) {
-	for len(v.earlier) > 0 && !v.earlier[0].until.After(now) {
-		v.earlier = v.earlier[1:]
+	for len(v.previous) > 0 && !v.previous[0].relevantUntil.After(now) {
+		v.previous = v.previous[1:]
 	}
-	v.introduced = v.introduced || v.knownToAll()
-	if v.gap(now) {
+	v.knownToAllOnce = v.knownToAllOnce || v.knownToAllNow()
+	if v.mayBeRemoved(now) {
 		v.unsettled = true
-		v.settled = now.Add(v.window)
+		v.settledAt = now.Add(v.window)
 		return
 	}
 	if v.unsettled {
 		v.unsettled = false
-		v.settled = now.Add(v.window)
+		v.settledAt = now.Add(v.window)
 	}
 }
 
 // MustClaim reports whether another entry may have run, or may be running, a
-// job whose home the name decides, so that it must be claimed before it runs
-// here.
+// job with a home name, so that this entry must claim the job before it runs
+// it.
 func (v *View) MustClaim(now time.Time, name string) bool {
 	v.Observe(now)
-	if v.unsettled || now.Before(v.settled) {
+	if v.unsettled || now.Before(v.settledAt) {
 		return true
 	}
 	if home, ok := v.current.Home(name); !ok || home.ID != v.self {
 		return true
 	}
-	for i := range v.earlier {
-		if home, ok := v.earlier[i].Home(name); !ok || home.ID != v.self {
+	for i := range v.previous {
+		if home, ok := v.previous[i].Home(name); !ok || home.ID != v.self {
 			return true
 		}
 	}
 	return false
 }
 
-// Settled reports whether the entry may run the keys that it is the home of
-// without a claim.
+// Settled reports whether no claim is needed for keys that this entry has been
+// the home of throughout the window.
 func (v *View) Settled(now time.Time) bool {
 	v.Observe(now)
-	return !v.unsettled && !now.Before(v.settled)
+	return !v.unsettled && !now.Before(v.settledAt)
 }
 
 // Silent returns the listed entries that are out of contact.
 func (v *View) Silent(now time.Time) map[string]bool {
-	silent := make(map[string]bool)
+	ids := make(map[string]bool)
 	for _, e := range v.current.Entries {
-		at, ok := v.confirmed[e.ID]
-		if e.ID != v.self && (!ok || now.Sub(at) > v.contact) {
-			silent[e.ID] = true
+		at, ok := v.confirmedAt[e.ID]
+		if e.ID != v.self && (!ok || now.Sub(at) > v.contactTimeout) {
+			ids[e.ID] = true
 		}
 	}
-	return silent
+	return ids
 }
 
-// knownToAll reports whether this entry and all that are listed know of one
-// another.
-func (v *View) knownToAll() bool {
+// knownToAllNow reports whether this entry is listed and all listed peers have
+// confirmed a list that has it.
+func (v *View) knownToAllNow() bool {
 	listed := false
 	for _, e := range v.current.Entries {
 		listed = listed || e.ID == v.self
-		if e.ID != v.self && !v.knownTo[e.ID] {
+		if e.ID != v.self && !v.knownBy[e.ID] {
 			return false
 		}
 	}
 	return listed
 }
 
-// Introduced reports whether all listed entries have known this one at some
-// time. Before that a claim of theirs could leave it out, so it must not run
-// jobs that are not idempotent.
+// Introduced reports whether at some time all listed entries have known this
+// one. Before that, a claim of theirs may not ask it, so it must not run jobs
+// that are not idempotent.
 func (v *View) Introduced(now time.Time) bool {
 	v.Observe(now)
-	return v.introduced
+	return v.knownToAllOnce
 }
 
-// Refresh tells that at a time the key-value service had no newer registry.
+// Refresh records that the key-value service had no newer registry at a time.
 func (v *View) Refresh(at time.Time) {
-	if at.After(v.fresh) {
-		v.fresh = at
+	if at.After(v.newestAt) {
+		v.newestAt = at
 	}
 }
 
 // Age returns the time since the registry was known to be the newest. It is
 // bounded, so that sums of ages do not overflow.
 func (v *View) Age(now time.Time) time.Duration {
-	return min(now.Sub(v.fresh), longestAge)
+	return min(now.Sub(v.newestAt), maxAge)
 }
 
-// longestAge stands for never.
-const longestAge = 10_000 * time.Hour
+// maxAge is the age of a registry that was never known to be the newest.
+const maxAge = 10_000 * time.Hour
 
-// MayRun reports whether this entry may run jobs that are not idempotent. It
-// must be introduced. And it stops when for a window it has neither heard of
-// some peer nor known its registry to be the newest: the peer may then have
-// given up this entry and all agents that it knows, and no claim could tell.
-// An entry that knows no peer has none that could be silent, so for it an old
-// registry is enough: others may have joined and given it up.
+// MayRun reports whether this entry may run jobs that are not idempotent. All
+// entries must have known it at some time (KnownToAll). It must stop when, for
+// a window, some peer was out of contact and the registry was not known to be
+// the newest: the peer may then have removed this entry and all agents that it
+// knows, and no claim would find the jobs that it runs. An entry that knows no
+// live peer must stop as soon as its registry is old: others may have joined
+// and removed it.
 func (v *View) MayRun(now time.Time) bool {
-	old := v.Age(now) > v.window-v.contact
-	return v.Introduced(now) && !(old && (v.alone() || v.gap(now)))
+	stale := v.Age(now) > v.window-v.contactTimeout
+	return v.Introduced(now) && !(stale && (v.isAlone() || v.mayBeRemoved(now)))
 }
 
-// alone reports whether no listed entry but this one is known to live.
-func (v *View) alone() bool {
+// isAlone reports whether all other listed entries have ended.
+func (v *View) isAlone() bool {
 	for _, e := range v.current.Entries {
-		if e.ID != v.self && !v.gone[e.ID] {
+		if e.ID != v.self && !v.ended[e.ID] {
 			return false
 		}
 	}
 	return true
 }
 
-// Isolated reports whether some entry is out of contact that may have run jobs.
+// Isolated reports whether some entry that may have run jobs is out of contact
+// or lost.
 func (v *View) Isolated(now time.Time) bool {
-	return v.silent(now, v.contact) || len(v.current.Lost) > 0
+	return v.lacksContact(now, v.contactTimeout) || len(v.current.Lost) > 0
 }
--- a/member/watchdog.go
+++ b/member/watchdog.go
@@ -5,131 +5,134 @@
 	"time"
 )
 
-// Watchdog decides which members an entry wants suspended or removed. It
-// judges the agents that announce themselves to the entry, and those that the
-// entry is responsible for.
+// Watchdog decides which members an entry proposes to suspend or remove. It
+// covers the agents that announce themselves to the entry, those that the entry
+// is responsible for, and the other entries.
 //
-// An agent is suspended when it was silent for a window or its incarnation has
-// ended, and removed when it has been suspended and silent for another window:
-// only then have all entries that act without claims stopped to rely on it. An
-// entry counts as lost when it was out of contact for a window. Until then it
-// may have run jobs, by claims that it put to the agents; so it is forgotten
-// only after another window.
+// An agent is suspended when it has been out of contact for a window or its
+// incarnation has ended. It is removed when it has been suspended and out of
+// contact for another window: only then has every entry that runs jobs without
+// claims stopped relying on it. An entry is lost when it has been out of
+// contact for a window. Until then it may have run jobs that it claimed at the
+// agents, so it is removed from the lost ones only after another window.
 //
 // NewWatchdog makes one. It is not safe for concurrent use.
 type Watchdog struct {
-	self   string
-	window time.Duration
-	agents map[string]*watched
-	missed map[string]time.Time // by entry: since when its first contact is awaited
-	lost   map[string]time.Time // by entry: since when it was seen to be lost
+	self         string
+	window       time.Duration
+	agents       map[string]*agentState
+	awaitedSince map[string]time.Time // by entry without contact so far: when it was first missed
+	lostSince    map[string]time.Time // by lost entry: when the registry was first seen to list it so
 }
 
-type watched struct {
-	heard     time.Time
-	suspended time.Time // since when the registry was seen to list it so
-	announces bool
-	ended     bool
+// agentState is what the Watchdog knows of one agent.
+type agentState struct {
+	lastContact time.Time
+	suspendedAt time.Time // when the registry was first seen to list it as suspended, or zero
+	announces   bool      // to this entry
+	ended       bool      // for good
 }
 
 // NewWatchdog returns the Watchdog of the entry self.
 func NewWatchdog(self string, window time.Duration) *Watchdog {
 	return &Watchdog{
-		self:   self,
-		window: window,
-		agents: make(map[string]*watched),
-		missed: make(map[string]time.Time),
-		lost:   make(map[string]time.Time),
+		self:         self,
+		window:       window,
+		agents:       make(map[string]*agentState),
+		awaitedSince: make(map[string]time.Time),
+		lostSince:    make(map[string]time.Time),
 	}
 }
 
-func (w *Watchdog) agent(now time.Time, id string) *watched {
+func (w *Watchdog) agent(now time.Time, id string) *agentState {
 	a := w.agents[id]
 	if a == nil {
-		a = &watched{heard: now}
+		a = &agentState{lastContact: now}
 		w.agents[id] = a
 	}
 	return a
 }
 
-// Heard tells that an agent gave a sign of life.
+// Heard records contact with an agent.
 func (w *Watchdog) Heard(now time.Time, id string) {
-	w.agent(now, id).heard = now
+	w.agent(now, id).lastContact = now
 }
 
-// Announced tells that an agent introduced itself to this entry.
+// Announced records that an agent announced itself to this entry.
 func (w *Watchdog) Announced(now time.Time, id string) {
 	a := w.agent(now, id)
-	a.heard = now
+	a.lastContact = now
 	a.announces = true
 }
 
-// Ended tells that an incarnation of an agent is gone for good.
+// Ended records that an incarnation of an agent has ended for good.
 func (w *Watchdog) Ended(now time.Time, id string) {
 	w.agent(now, id).ended = true
 }
 
-// Silent returns for how long an agent that announces itself here has given no
-// sign. It is 0 for others.
+// Silent returns the time since the last contact with an agent that announces
+// itself to this entry. It is 0 for other agents and for those that have ended.
 func (w *Watchdog) Silent(now time.Time, id string) time.Duration {
 	a := w.agents[id]
 	if a == nil || !a.announces || a.ended {
 		return 0
 	}
-	return now.Sub(a.heard)
+	return now.Sub(a.lastContact)
 }
 
 // Sweep returns the changes of the registry that are due.
-func (w *Watchdog) Sweep(now time.Time, v *View) (cs []Change) {
+func (w *Watchdog) Sweep(now time.Time, v *View) (changes []Change) {
 	reg := v.Registry()
 	for _, a := range reg.Agents {
-		cs = append(cs, w.sweepAgent(now, reg, a)...)
+		changes = append(changes, w.sweepAgent(now, reg, a)...)
 	}
 	for _, e := range reg.Entries {
-		if e.ID != w.self && w.entryMissed(now, v, e.ID) > w.window {
-			cs = append(cs, LoseEntry{ID: e.ID})
+		if e.ID != w.self && w.sinceEntryContact(now, v, e.ID) > w.window {
+			changes = append(changes, MarkEntryLost{ID: e.ID})
 		}
 	}
 	for _, e := range reg.Lost {
-		if w.lostFor(now, e.ID) > w.window {
-			cs = append(cs, ForgetEntry{ID: e.ID})
+		if w.sinceLost(now, e.ID) > w.window {
+			changes = append(changes, ExpireEntry{ID: e.ID})
 		}
 	}
-	w.forget(reg)
-	return cs
+	w.expire(reg)
+	return changes
 }
 
+// sweepAgent returns the change that is due for one agent, if any.
 func (w *Watchdog) sweepAgent(now time.Time, reg *Registry, a Agent) []Change {
 	st := w.agent(now, a.ID)
 	if !st.announces && !st.ended && !reg.Responsible(w.self, a.Service) {
 		return nil
 	}
-	silent := now.Sub(st.heard) > w.window
+	outOfContact := now.Sub(st.lastContact) > w.window
 	if !a.Suspended {
-		st.suspended = time.Time{}
-		if st.ended || silent {
+		st.suspendedAt = time.Time{}
+		if st.ended || outOfContact {
 			return []Change{SuspendAgent{ID: a.ID, On: true}}
 		}
 		return nil
 	}
-	if st.suspended.IsZero() {
-		st.suspended = now
+	if st.suspendedAt.IsZero() {
+		st.suspendedAt = now
 	}
-	if now.Sub(st.suspended) > w.window && (st.ended || silent) {
+	if now.Sub(st.suspendedAt) > w.window && (st.ended || outOfContact) {
 		return []Change{RemoveAgent{ID: a.ID}}
 	}
 	return nil
 }
 
-// entryMissed returns for how long an entry has been out of contact.
-func (w *Watchdog) entryMissed(now time.Time, v *View, id string) time.Duration {
+// sinceEntryContact returns the time since the last contact with an entry. If
+// there was none, it counts from the first call.
+func (w *Watchdog) sinceEntryContact(now time.Time, v *View, id string) time.Duration {
 	if at, ok := v.LastContact(id); ok {
-		delete(w.missed, id)
+		delete(w.awaitedSince, id)
 		return now.Sub(at)
 	}
-	since, ok := w.missed[id]
+	since, ok := w.awaitedSince[id]
 	if !ok {
-		w.missed[id] = now
+		w.awaitedSince[id] = now
 	}
 	if !ok {
 		return 0
@@ -137,38 +140,40 @@
 	return now.Sub(since)
 }
 
-// lostFor returns for how long the registry was seen to list an entry as lost.
-func (w *Watchdog) lostFor(now time.Time, id string) time.Duration {
-	since, ok := w.lost[id]
+// sinceLost returns the time for which the registry was seen to list an entry as
+// lost.
+func (w *Watchdog) sinceLost(now time.Time, id string) time.Duration {
+	since, ok := w.lostSince[id]
 	if !ok {
 		since = now
-		w.lost[id] = now
+		w.lostSince[id] = now
 	}
 	return now.Sub(since)
 }
 
-// forget drops what is known of members that are gone and not listed.
-func (w *Watchdog) forget(reg *Registry) {
+// expire deletes the state of agents that have ended and are no longer listed,
+// and of entries that are no longer listed or no longer lost.
+func (w *Watchdog) expire(reg *Registry) {
 	for id, st := range w.agents {
 		if _, listed := reg.Agent(id); !listed && st.ended {
 			delete(w.agents, id)
 		}
 	}
-	for id := range w.missed {
+	for id := range w.awaitedSince {
 		if _, listed := reg.Entry(id); !listed {
-			delete(w.missed, id)
+			delete(w.awaitedSince, id)
 		}
 	}
-	for id := range w.lost {
+	for id := range w.lostSince {
 		if !slices.ContainsFunc(reg.Lost, func(e Entry) bool { return e.ID == id }) {
-			delete(w.lost, id)
+			delete(w.lostSince, id)
 		}
 	}
 }
 
-// Responsible reports whether an entry acts for the agents of a service on
-// behalf of all entries. All of them announce themselves to it.
+// Responsible reports whether an entry lists and watches the agents of a service
+// on behalf of all entries. All these agents announce themselves to it.
 func (r *Registry) Responsible(entry, service string) bool {
-	best, ok := r.Home(service)
-	return !ok || best.ID == entry
+	home, ok := r.Home(service)
+	return !ok || home.ID == entry
 }
