--- a/wire/agent.go
+++ b/wire/agent.go
@@ -1,18 +1,19 @@
-// Package wire holds the messages between masticbay's own processes and the
+// Package wire defines the messages between masticbay's processes and the
 // net/rpc calls that carry them.
 //
 // # Model
 //
-// Entries call agents to run, seal and claim tasks and to ask for credits.
+// Entries call agents to run tasks, to seal attempts (which then never start),
+// to claim jobs and to ask for credits, each of which allows one dispatch.
 // Agents call entries to announce themselves and to recall credits. Entries
-// call one another to forward submissions and to exchange what they know.
-// Every reply of an agent carries its Status, and both sides name the table
-// and registry revisions they act on, so that no message is needed for these
-// alone. A process that sees a newer revision pulls it.
+// call one another to forward submissions and to exchange their state. Every
+// reply of an agent carries its Status. Both sides state the table and registry
+// revisions that they use, so that these need no messages of their own; a
+// process that sees a newer revision pulls it.
 //
-// net/rpc knows no deadlines. Client adds them: a call that is not answered in
-// time returns ErrTimeout, and a peer that does not take bytes in time loses
-// its connection.
+// net/rpc has no deadlines. Client adds them: a call that is not answered in
+// time returns ErrTimeout, and the connection is closed if the peer does not
+// accept a write in time.
 //
 // # Usage
 //
@@ -38,26 +39,26 @@
 	AgentHandover = "Agent.Handover"
 )
 
-// Status is what every message of an agent tells about it.
+// Status is an agent's state, which every message of the agent carries.
 type Status struct {
 	Agent    string
-	Stamp    time.Duration
-	Offer    credit.Offer
-	Listed   uint64 // registry revision that lists the agent; 0 if none does
-	Young    bool
+	Stamp    time.Duration // the agent's monotonic time, for entries to echo
+	Offer    credit.Offer  // of credits to the receiver
+	Listed   uint64        // registry revision that first listed the agent; 0 if none did
+	Young    bool          // in its join window: claims made before the agent joined may still hold
 	Draining bool
 	Slots    int
 	Running  int
-	Idle     int // slots that are free and not lent to the receiver
-	Table    uint64
-	Registry uint64
+	Idle     int    // slots that are free and not lent to the receiver
+	Table    uint64 // table revision in force
+	Registry uint64 // highest registry revision seen
 }
 
 // RunArgs carries one dispatch.
 type RunArgs struct {
 	Dispatch gate.Dispatch
-	Epoch    uint64 // of the credit that is spent
-	Demand   int    // tasks that still wait at the entry
+	Epoch    uint64 // of the credit that the dispatch uses
+	Demand   int    // tasks waiting at the entry
 }
 
 // RunReply is sent when the task has ended or was refused.
@@ -71,18 +72,18 @@
 	Seal gate.Seal
 }
 
-// SealReply has one decision for each item, in order.
+// SealReply holds one decision for each item, in order.
 type SealReply struct {
 	Decisions []gate.Decision
 	Status    Status
 }
 
-// ClaimArgs carries claims of several jobs.
+// ClaimArgs carries claims for several jobs.
 type ClaimArgs struct {
 	Claim gate.Claim
 }
 
-// ClaimReply has one grant for each item, in order.
+// ClaimReply holds one grant for each item, in order.
 type ClaimReply struct {
 	Grants []gate.Grant
 	Status Status
@@ -94,7 +95,7 @@
 	Demand int
 }
 
-// AskReply carries the credits in its status.
+// AskReply carries the offered credits in the status.
 type AskReply struct {
 	Status Status
 }
@@ -105,20 +106,20 @@
 	Table    uint64
 	Rows     []table.Row
 	Registry uint64
-	Listed   uint64 // revision that lists the agent; 0 if none does
+	Listed   uint64 // registry revision that first listed the agent; 0 if none did
 }
 
-// UpdateReply tells what the agent has in force.
+// UpdateReply carries the agent's status with the revisions in force.
 type UpdateReply struct {
 	Status Status
 }
 
-// HandoverArgs gives the record of a leaving agent to its successor.
+// HandoverArgs carries the records of a leaving agent to its successor.
 type HandoverArgs struct {
 	Handover gate.Handover
 }
 
-// HandoverReply names the successor.
+// HandoverReply carries the status of the successor.
 type HandoverReply struct {
 	Status Status
 }
--- a/wire/client.go
+++ b/wire/client.go
@@ -10,18 +10,18 @@
 	"github.com/juju/errors"
 )
 
-// ErrTimeout is the cause of an error of a call that was not answered in time.
-// The peer may have acted on it.
+// ErrTimeout is the cause of the error of a call that was not answered in time.
+// The peer may have acted on the call.
 const ErrTimeout = errors.ConstError("call timed out")
 
-// ErrNotSent is the cause of an error of a call that never left this process.
+// ErrNotSent is the cause of the error of a call that never left this process.
 const ErrNotSent = errors.ConstError("call not sent")
 
-// ErrBroken is the cause of an error of a call whose connection broke. The
-// peer may have acted on it.
+// ErrBroken is the cause of the error of a call whose connection broke. The peer
+// may have acted on the call.
 const ErrBroken = errors.ConstError("connection broke during the call")
 
-// Options bounds a Client. Its zero value is usable.
+// Options configures a Client. The zero value is usable.
 type Options struct {
 	DialTimeout  time.Duration // 1 s if zero
 	WriteTimeout time.Duration // 2 s if zero
@@ -29,15 +29,15 @@
 	Network      Network       // TCP if nil
 }
 
-// Client calls one peer. It dials when a call needs a connection, and drops
+// Client calls one peer. It dials when a call needs a connection, and closes
 // the connection when a write does not end in time. It is safe for concurrent
 // use.
 type Client struct {
 	address string
 	opts    Options
-	dialing chan struct{} // holds a token while a call dials; others wait as long as they like
+	dialing chan struct{} // holds a token while a call dials; other calls wait for it until their contexts end
 
-	mu     sync.Mutex // guards what follows
+	mu     sync.Mutex // guards the fields below
 	rpc    *rpc.Client
 	closed bool
 }
@@ -47,7 +47,7 @@
 	defaultWriteTimeout = 2 * time.Second
 )
 
-// NewClient returns a Client of the peer at address, such as "10.0.0.7:7402".
+// NewClient returns a Client for the peer at address, such as "10.0.0.7:7402".
 func NewClient(address string, opts Options) *Client {
 	if opts.DialTimeout == 0 {
 		opts.DialTimeout = defaultDialTimeout
@@ -62,23 +62,23 @@
 // Address returns the address of the peer.
 func (c *Client) Address() string { return c.address }
 
-// Close ends the connection. Calls under way fail with ErrBroken.
+// Close closes the connection for good. Calls in progress fail with ErrBroken.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
-	c.drop(c.rpc)
+	c.dropLocked(c.rpc)
 }
 
-// Reset ends the connection; the next call dials again.
+// Reset closes the connection; the next call dials again.
 func (c *Client) Reset() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.drop(c.rpc)
+	c.dropLocked(c.rpc)
 }
 
-// drop closes conn if it is still the current one.
-func (c *Client) drop(conn *rpc.Client) {
+// dropLocked closes conn if it is still the current connection.
+func (c *Client) dropLocked(conn *rpc.Client) {
 	if conn == nil || conn != c.rpc {
 		return
 	}
@@ -86,13 +86,14 @@
 	c.rpc = nil
 }
 
-func (c *Client) forget(conn *rpc.Client) {
+// dropConn is dropLocked for callers that do not hold mu.
+func (c *Client) dropConn(conn *rpc.Client) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.drop(conn)
+	c.dropLocked(conn)
 }
 
-// connection returns the connection, dialing if there is none.
+// connection returns the current connection, dialing if there is none.
 func (c *Client) connection(ctx context.Context) (*rpc.Client, error) {
 	if conn, err := c.current(); conn != nil || err != nil {
 		return conn, err
@@ -112,10 +113,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return c.use(conn)
+	return c.setCurrent(conn)
 }
 
-// current returns the connection, or nil if there is none.
+// current returns the current connection, or nil if there is none.
 func (c *Client) current() (*rpc.Client, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -125,8 +126,8 @@
 	return c.rpc, nil
 }
 
-// use makes conn the current connection.
-func (c *Client) use(conn net.Conn) (*rpc.Client, error) {
+// setCurrent makes conn the current connection.
+func (c *Client) setCurrent(conn net.Conn) (*rpc.Client, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -137,7 +138,8 @@
 	return c.rpc, nil
 }
 
-// deadlineConn gives up on a peer that does not take bytes in time.
+// deadlineConn bounds the time of each write, so that writing to a peer that does
+// not read fails.
 type deadlineConn struct {
 	net.Conn
 	timeout  time.Duration
@@ -149,12 +151,12 @@
 		return 0, err
 	}
 	n, err := c.Conn.Write(p)
-	c.messages.sent(n)
+	c.messages.countBytes(n)
 	return n, err
 }
 
 // Call sends args to a method of the peer and waits for the reply until ctx
-// ends. An error with the cause ErrNotSent proves that the peer did not get
+// ends. An error with the cause ErrNotSent proves that the peer did not receive
 // the call.
 func Call[A, R any](ctx context.Context, c *Client, method string, args *A) (rep *R, err error) {
 	defer func() { err = errors.Annotatef(err, "calling %s at %s", method, c.address) }()
@@ -163,28 +165,29 @@
 		return nil, errors.WithType(err, ErrNotSent)
 	}
 	if c.opts.Messages != nil {
-		c.opts.Messages.request(method)
+		c.opts.Messages.countRequest(method)
 	}
 	rep = new(R)
 	call := conn.Go(method, args, rep, make(chan *rpc.Call, 1))
 	select {
 	case <-call.Done:
-		return rep, c.outcome(conn, call.Error)
+		return rep, c.callError(conn, call.Error)
 	case <-ctx.Done():
 		return nil, errors.WithType(ctx.Err(), ErrTimeout)
 	}
 }
 
-// outcome tells an error that the peer's method returned from a broken
-// connection. rpc.ErrShutdown proves nothing: net/rpc also gives it to calls
-// that were sent before the connection was closed.
-func (c *Client) outcome(conn *rpc.Client, err error) error {
+// callError returns an error of the peer's method as it is, and any other error
+// with the cause ErrBroken, after dropping the connection. rpc.ErrShutdown does
+// not prove that the call was not sent: net/rpc also returns it for calls that
+// were sent before the connection was closed.
+func (c *Client) callError(conn *rpc.Client, err error) error {
 	if err == nil {
 		return nil
 	}
 	if server, ok := err.(rpc.ServerError); ok {
 		return server
 	}
-	c.forget(conn)
+	c.dropConn(conn)
 	return errors.WithType(err, ErrBroken)
 }
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -5,16 +5,17 @@
 	"sync/atomic"
 )
 
-// Messages counts what a process sends to others of the system. The zero value
-// is ready to use. It is safe for concurrent use.
+// Messages counts the messages that a process sends to other processes of the
+// system. The zero value is ready to use. It is safe for concurrent use.
 type Messages struct {
 	requests atomic.Uint64
 	replies  atomic.Uint64
 	bytes    atomic.Uint64
-	methods  sync.Map // of *atomic.Uint64, by method
+	methods  sync.Map // number of requests as *atomic.Uint64, by method
 }
 
-func (m *Messages) request(method string) {
+// countRequest counts a request that calls method.
+func (m *Messages) countRequest(method string) {
 	m.requests.Add(1)
 	n, ok := m.methods.Load(method)
 	if !ok {
@@ -35,8 +36,8 @@
 // Bytes returns the number of bytes sent.
 func (m *Messages) Bytes() uint64 { return m.bytes.Load() }
 
-// sent counts bytes; m may be nil.
-func (m *Messages) sent(n int) {
+// countBytes adds n to the bytes sent; m may be nil.
+func (m *Messages) countBytes(n int) {
 	if m != nil {
 		m.bytes.Add(uint64(n))
 	}
--- a/wire/network.go
+++ b/wire/network.go
@@ -5,13 +5,13 @@
 	"net"
 )
 
-// Network is where the processes of the system reach one another. Its
-// implementations are safe for concurrent use.
+// Network connects the processes of the system. Its implementations are safe for
+// concurrent use.
 type Network interface {
-	// Listen accepts connections at an address, such as "10.0.0.7:7402"; port
-	// 0 stands for a free one.
+	// Listen accepts connections at an address, such as "10.0.0.7:7402". Port
+	// 0 selects a free port.
 	Listen(address string) (net.Listener, error)
-	// Dial connects to an address until ctx ends.
+	// Dial connects to an address; it gives up when ctx ends.
 	Dial(ctx context.Context, address string) (net.Conn, error)
 }
 
--- a/wire/server.go
+++ b/wire/server.go
@@ -13,22 +13,23 @@
 	rpc      *rpc.Server
 	messages *Messages
 
-	mu     sync.Mutex // guards what follows
+	mu     sync.Mutex // guards the fields below
 	conns  map[net.Conn]struct{}
 	ln     net.Listener
 	closed bool
 }
 
-// NewServer returns a Server of the methods of receiver under name.
+// NewServer returns a Server that serves the methods of receiver under name. It
+// counts its replies in m, which may be nil.
 func NewServer(name string, receiver any, m *Messages) (s *Server, err error) {
 	defer func() { err = errors.Annotatef(err, "registering the methods of %s", name) }()
 	s = &Server{rpc: rpc.NewServer(), messages: m, conns: make(map[net.Conn]struct{})}
 	return s, s.rpc.RegisterName(name, receiver)
 }
 
-// Serve accepts connections until Close.
+// Serve accepts and serves connections on ln until Close.
 func (s *Server) Serve(ln net.Listener) {
-	if !s.listen(ln) {
+	if !s.setListener(ln) {
 		return
 	}
 	for {
@@ -36,14 +37,15 @@
 		if err != nil {
 			return
 		}
-		if s.add(conn) {
+		if s.addConn(conn) {
 			go s.serveConn(conn)
 		}
 	}
 }
 
-// listen takes ln over, or closes it if the Server is closed already.
-func (s *Server) listen(ln net.Listener) bool {
+// setListener makes ln the listener that Close closes. If the Server is closed
+// already, it closes ln and reports false.
+func (s *Server) setListener(ln net.Listener) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
@@ -55,11 +57,12 @@
 }
 
 func (s *Server) serveConn(conn net.Conn) {
-	defer s.remove(conn)
+	defer s.removeConn(conn)
 	s.rpc.ServeConn(&countingConn{deadlineConn{conn, defaultWriteTimeout, s.messages}})
 }
 
-func (s *Server) add(conn net.Conn) bool {
+// addConn registers conn, or closes it if the Server is closed already.
+func (s *Server) addConn(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
@@ -70,14 +73,14 @@
 	return true
 }
 
-func (s *Server) remove(conn net.Conn) {
+func (s *Server) removeConn(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, conn)
 	_ = conn.Close()
 }
 
-// Close stops accepting and ends all connections.
+// Close closes the listener and all connections.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,7 +93,7 @@
 	}
 }
 
-// countingConn counts replies: net/rpc writes each of them at once.
+// countingConn counts replies: net/rpc sends each reply by one Write.
 type countingConn struct {
 	deadlineConn
 }
