--- a/table/csv.go
+++ b/table/csv.go
@@ -11,10 +11,10 @@
 	"masticbay/job"
 )
 
-// csvHeader names the columns of the table as a spreadsheet.
+// csvHeader is the first line of the table as CSV.
 var csvHeader = []string{"kind", "name", "weight", "limit", "drain", "revision"}
 
-// WriteCSV writes rows as a spreadsheet that ReadCSV reads.
+// WriteCSV writes rows as CSV, which ReadCSV reads and spreadsheets can edit.
 func WriteCSV(w io.Writer, rows []Row) error {
 	cw := csv.NewWriter(w)
 	_ = cw.Write(csvHeader)
@@ -28,8 +28,8 @@
 	return errors.Annotate(cw.Error(), "writing the table")
 }
 
-// ReadCSV reads rows. The column revision is the revision that the line is
-// based on; it may be empty for a new row.
+// ReadCSV reads rows from CSV. The revision column is the revision that the line
+// is based on; it may be empty for a new row.
 func ReadCSV(r io.Reader) (rows []Row, err error) {
 	defer func() { err = errors.Annotate(err, "reading the table") }()
 	cr := csv.NewReader(r)
@@ -74,20 +74,21 @@
 	return r, nil
 }
 
-// Same reports whether a and b allow the same.
-func Same(a, b Row) bool {
+// SameSettings reports whether a and b have the same weight, limit, drain and
+// removed values.
+func SameSettings(a, b Row) bool {
 	return a.Weight == b.Weight && a.Limit == b.Limit && a.Drain == b.Drain && a.Removed == b.Removed
 }
 
 // Diff returns the edits that turn the rows in before into those in after. A
-// row that is missing in after is left as it is.
+// row that is missing in after gets no edit.
 func Diff(before, after []Row) (edits []Edit) {
-	old := make(map[string]Row)
+	beforeByID := make(map[string]Row)
 	for _, r := range before {
-		old[r.ID()] = r
+		beforeByID[r.ID()] = r
 	}
 	for _, r := range after {
-		if was, ok := old[r.ID()]; ok && Same(was, r) {
+		if previous, ok := beforeByID[r.ID()]; ok && SameSettings(previous, r) {
 			continue
 		}
 		edits = append(edits, Edit{Row: r, Base: r.Revision})
--- a/table/row.go
+++ b/table/row.go
@@ -1,13 +1,13 @@
-// Package table is the operators' table of weights and limits.
+// Package table holds the operators' table of weights and limits.
 //
 // # Model
 //
 // The table has one row for each service, target or team that operators have
 // edited. A row carries the revision that the platform's key-value service
-// gave to its last change; revisions grow over the whole table. An edit names
-// the revision of the row that it was based on, and fails with a
-// *ConflictError when the row has changed since. Every process applies only
-// newer revisions, so that no change reverts.
+// assigned to its last change; revisions grow over the whole table. An edit
+// names the revision of the row that it is based on, and fails with a
+// *ConflictError if the row has changed since. Every process applies only
+// newer revisions, so that a late message never reverts a change.
 //
 // # Usage
 //
@@ -24,7 +24,7 @@
 	"masticbay/job"
 )
 
-// Kind tells what a row is about.
+// Kind is the kind of thing that a row is about.
 type Kind string
 
 // The kinds of rows.
@@ -38,37 +38,40 @@
 type Row struct {
 	Kind     Kind      `json:"kind"`
 	Name     string    `json:"name"`
-	Weight   float64   `json:"weight"` // share against rows of the same kind; 1 is usual
-	Limit    int       `json:"limit"`  // concurrent tasks; 0 means no limit
-	Drain    bool      `json:"drain"`  // targets: start nothing new
+	Weight   float64   `json:"weight"` // share relative to rows of the same kind; usually 1
+	Limit    int       `json:"limit"`  // concurrent tasks; 0 means no limit, -1 that nothing may run
+	Drain    bool      `json:"drain"`  // only for targets: start no new tasks
 	Removed  bool      `json:"removed,omitempty"`
 	Revision uint64    `json:"revision"`          // 0 in an edit of a row that does not exist
 	EditID   string    `json:"editID"`            // identifies the edit that wrote the row
-	Earlier  []string  `json:"earlier,omitempty"` // identifiers of the edits before it, the latest first
+	Earlier  []string  `json:"earlier,omitempty"` // identifiers of earlier edits of the row, the latest first
 	Edited   time.Time `json:"edited"`
 	Author   string    `json:"author,omitempty"`
 }
 
-// ID names the row in the table.
+// ID returns the row's identifier, unique in the table.
 func (r *Row) ID() string {
 	return string(r.Kind) + "/" + r.Name
 }
 
-// earlierEdits is the number of earlier edits that a row remembers. An edit
-// can be resolved after a lost answer while no more than these came after it.
-const earlierEdits = 32
+// maxEarlierEdits bounds the identifiers of earlier edits that a row keeps. After
+// a lost answer, the outcome of an edit can be determined as long as fewer than
+// this many edits came after it.
+const maxEarlierEdits = 32
 
-// editIDs returns the identifiers of the edits up to this row's state.
+// editIDs returns the identifiers of the edits that led to this row's state, the
+// latest first, as far as they are kept.
 func (r *Row) editIDs() []string {
 	if r.EditID == "" {
 		return nil
 	}
 	ids := append([]string{r.EditID}, r.Earlier...)
-	return ids[:min(len(ids), earlierEdits)]
+	return ids[:min(len(ids), maxEarlierEdits)]
 }
 
-// has reports whether the row's state came from the edit or later ones.
-func (r *Row) has(editID string) bool {
+// includesEdit reports whether the edit led to this row's state, as far as edits
+// are kept.
+func (r *Row) includesEdit(editID string) bool {
 	return slices.Contains(r.editIDs(), editID)
 }
 
@@ -77,7 +80,8 @@
 	maxLimit  = 1_000_000 // tasks
 )
 
-// Check reports the first value that is not allowed, as a *job.ValueError.
+// Check returns a *job.ValueError about the first value that is not allowed, or
+// nil.
 func (r *Row) Check() error {
 	switch {
 	case r.Kind != Service && r.Kind != Target && r.Kind != Team:
@@ -95,13 +99,13 @@
 }
 
 // ConflictError reports that a row has changed since the revision that an edit
-// was based on. Nothing was written.
+// is based on. Nothing was written.
 type ConflictError struct {
 	Base    uint64
 	Current Row
 }
 
-// Error tells both revisions.
+// Error names both revisions.
 func (e *ConflictError) Error() string {
 	return fmt.Sprintf("%s has changed: the edit is based on revision %d, the row is at %d", e.Current.ID(), e.Base, e.Current.Revision)
 }
--- a/table/snapshot.go
+++ b/table/snapshot.go
@@ -13,15 +13,15 @@
 	rows     map[string]Row
 }
 
-// Revision returns the highest revision that the snapshot contains.
+// Revision returns the revision up to which the snapshot has all changes.
 func (s *Snapshot) Revision() uint64 { return s.revision }
 
-// Row returns the row of a kind and name, and whether it is there and not
-// removed. A removed row is returned with its revision.
+// Row returns the row of a kind and name, and whether it exists. A removed row
+// does not exist, but is returned with its revision.
 func (s *Snapshot) Row(kind Kind, name string) (Row, bool) {
 	r := Row{Kind: kind, Name: name}
-	got, ok := s.rows[r.ID()]
-	return got, ok && !got.Removed
+	found, ok := s.rows[r.ID()]
+	return found, ok && !found.Removed
 }
 
 // Rows returns the rows that are newer than revision since, removed ones
@@ -45,8 +45,8 @@
 	return rows
 }
 
-// Replica is a process's copy of the table. Readers get whole snapshots. The
-// zero Replica is empty. It is safe for concurrent use.
+// Replica is a process's copy of the table. Readers get consistent snapshots.
+// The zero Replica is empty. It is safe for concurrent use.
 type Replica struct {
 	mu      sync.Mutex // serializes writers
 	current atomic.Pointer[Snapshot]
@@ -60,9 +60,9 @@
 	return &Snapshot{}
 }
 
-// Apply merges rows and reports whether any of them was newer. A row replaces
-// only an older state of itself. The flag whole tells that rows contains every
-// change up to revision, so that the replica has reached it.
+// Apply merges rows and reports whether the replica changed. A row replaces only
+// an older state of itself. The rows must contain every change up to revision
+// that the replica lacks, so that the replica reaches this revision.
 func (p *Replica) Apply(rows []Row, revision uint64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/table/store.go
+++ b/table/store.go
@@ -11,7 +11,7 @@
 	"masticbay/store"
 )
 
-// Prefix is where the rows live in the key-value service.
+// Prefix begins the keys of the rows in the key-value service.
 const Prefix = "masticbay/table/"
 
 const historyPrefix = "masticbayHistory/"
@@ -19,8 +19,8 @@
 // HistoryLen is the number of earlier states kept for each row.
 const HistoryLen = 20
 
-// Edit is a change of one row. Base is the revision that it was based on, 0
-// for a row that must not exist yet.
+// Edit is a change of one row. Base is the revision of the row that it is based
+// on, or 0 if the row must not exist yet.
 type Edit struct {
 	Row  Row
 	Base uint64
@@ -49,7 +49,7 @@
 	return rows, err
 }
 
-// Decode turns items of the key-value service into rows.
+// Decode parses items of the key-value service as rows.
 func Decode(items []store.Item) (rows []Row, err error) {
 	for _, it := range items {
 		r, err := decodeRow(it)
@@ -69,8 +69,8 @@
 	return r, nil
 }
 
-// Get returns one row; removed rows are returned with Removed set. The error
-// is store.ErrNotFound if there never was such a row.
+// Get returns one row; a removed row is returned with Removed set. The error is
+// store.ErrNotFound if the row never existed.
 func (e *Editor) Get(ctx context.Context, kind Kind, name string) (r Row, err error) {
 	r = Row{Kind: kind, Name: name}
 	defer func() { err = errors.Annotatef(err, "reading row %s", r.ID()) }()
@@ -81,15 +81,15 @@
 	return decodeRow(it)
 }
 
-// Set writes an edit and returns the row as it then is. It returns a
-// *ConflictError if the row is not at the base revision; then nothing was
-// written, and nothing will be.
+// Set writes an edit and returns the resulting row. It returns a *ConflictError
+// if the row is not at the base revision; then nothing was written, and nothing
+// will be.
 //
-// When the answer to the write is lost, the row is read back. If it is still
-// at the base, the same write is tried again, which is idempotent. If it has
-// moved on, the edit took effect if and only if the row remembers the edit's
-// identifier. Only while the service does not answer is an *UncertainError
-// returned.
+// When the answer to the write is lost, Set reads the row back. If the row is
+// still at the base revision, the same write is tried again, which is
+// idempotent. If the row is at a later revision, the edit took effect if and
+// only if the row lists the edit's identifier. Set returns an *UncertainError
+// if it still has no answer after maxWriteAttempts.
 func (e *Editor) Set(ctx context.Context, ed Edit) (r Row, err error) {
 	r = ed.Row
 	defer func() { err = errors.Annotatef(err, "editing row %s", r.ID()) }()
@@ -109,12 +109,12 @@
 	r.Edited = e.Clock.Now().UTC().Round(time.Millisecond)
 	r, err = e.write(ctx, r, ed.Base)
 	if err == nil {
-		e.remember(ctx, r)
+		e.addToHistory(ctx, r)
 	}
 	return r, err
 }
 
-// current returns a row, or a row of revision 0 if there is none.
+// current returns a row, or one with revision 0 if the row never existed.
 func (e *Editor) current(ctx context.Context, kind Kind, name string) (Row, error) {
 	cur, err := e.Get(ctx, kind, name)
 	if errors.Is(err, store.ErrNotFound) {
@@ -123,15 +123,17 @@
 	return cur, err
 }
 
-// writeTries bounds how often a write whose answer was lost is repeated.
-const writeTries = 4
+// maxWriteAttempts bounds the attempts of a write whose answers are lost.
+const maxWriteAttempts = 4
 
+// write writes r if the stored row is at the base revision. See Set for lost
+// answers.
 func (e *Editor) write(ctx context.Context, r Row, base uint64) (Row, error) {
 	value, err := json.Marshal(&r)
 	if err != nil {
 		return r, err
 	}
-	for try := 1; ; try++ {
+	for attempt := 1; ; attempt++ {
 		rev, ok, err := e.Store.CompareAndSwap(ctx, Prefix+r.ID(), value, base)
 		if err == nil && ok {
 			r.Revision = rev
@@ -139,28 +141,28 @@
 		}
 		cur, readErr := e.current(ctx, r.Kind, r.Name)
 		switch {
-		case readErr != nil && try >= writeTries:
+		case readErr != nil && attempt >= maxWriteAttempts:
 			return r, &UncertainError{EditID: r.EditID, Cause: readErr}
 		case readErr != nil:
 			continue
-		case cur.has(r.EditID):
+		case cur.includesEdit(r.EditID):
 			return cur, nil
 		case cur.Revision != base:
 			return r, &ConflictError{Base: base, Current: cur}
-		case try >= writeTries:
+		case attempt >= maxWriteAttempts:
 			return r, &UncertainError{EditID: r.EditID, Cause: err}
 		}
 	}
 }
 
-// UncertainError reports that the answers to a write were lost and that
-// reading back did not tell whether it took effect.
+// UncertainError reports that the answers to a write were lost and that reading
+// the row back did not show whether the write took effect.
 type UncertainError struct {
 	EditID string
 	Cause  error
 }
 
-// Error tells what to compare.
+// Error names the edit and the error of the last call.
 func (e *UncertainError) Error() string {
 	return "the edit " + e.EditID + " may have taken effect or may still do so; read the row again: " + e.Cause.Error()
 }
@@ -168,7 +170,7 @@
 // Unwrap returns the error of the last call.
 func (e *UncertainError) Unwrap() error { return e.Cause }
 
-// History returns the kept states of a row, the newest first.
+// History returns the earlier states of a row that are kept, the newest first.
 func (e *Editor) History(ctx context.Context, kind Kind, name string) (rows []Row, err error) {
 	r := Row{Kind: kind, Name: name}
 	defer func() { err = errors.Annotatef(err, "reading the history of %s", r.ID()) }()
@@ -182,11 +184,11 @@
 	return rows, json.Unmarshal(it.Value, &rows)
 }
 
-// remember adds a state to the history. The history is informative: a failure
-// to write it does not undo the edit.
-func (e *Editor) remember(ctx context.Context, r Row) {
+// addToHistory adds a state of a row to its history. The history is informative:
+// an edit stands even if its history can not be written.
+func (e *Editor) addToHistory(ctx context.Context, r Row) {
 	key := historyPrefix + r.ID()
-	for range historyTries {
+	for range maxHistoryAttempts {
 		var rows []Row
 		it, err := e.Store.Get(ctx, key)
 		if err == nil {
@@ -206,9 +208,12 @@
 	}
 }
 
-const historyTries = 5
+// maxHistoryAttempts bounds the attempts to add to a history that other edits
+// change at the same time.
+const maxHistoryAttempts = 5
 
-// insertRow keeps rows sorted by revision, the newest first.
+// insertRow inserts r into rows, which are sorted by revision, the newest first,
+// and returns at most HistoryLen of them.
 func insertRow(rows []Row, r Row) []Row {
 	i := 0
 	for i < len(rows) && rows[i].Revision > r.Revision {
--- a/table/table_test.go
+++ b/table/table_test.go
@@ -17,7 +17,8 @@
 	"masticbay/table"
 )
 
-// faultyStore loses answers to writes, before or after they took effect.
+// faultyStore fails a quarter of the writes before they take effect, and loses
+// the answers to a quarter of the others.
 type faultyStore struct {
 	store.Store
 	r *rand.Rand
@@ -34,20 +35,21 @@
 	return rev, ok, err
 }
 
-// edit is an operation on a register: swap the revision Base for a new one.
-type edit struct{ base uint64 }
+// editInput is an operation on the register: replace the revision base by a new
+// one.
+type editInput struct{ base uint64 }
 
-// ended is its outcome; an uncertain edit may have taken effect.
-type ended struct {
+// editOutput is the outcome of an edit; an uncertain edit may have taken effect.
+type editOutput struct {
 	ok, uncertain bool
 	revision      uint64
 }
 
-// register is a compare-and-swap register of the row's revision.
+// register models the row's revision as a compare-and-swap register.
 var register = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
-		cur, in, out := state.(uint64), input.(edit), output.(ended)
+		cur, in, out := state.(uint64), input.(editInput), output.(editOutput)
 		switch {
 		case out.ok:
 			return cur == in.base && out.revision > cur, out.revision
@@ -58,8 +60,9 @@
 	},
 }
 
-// operators race one another on one row, step by step, and lose answers.
-func operators(seed uint64, set func(*table.Editor, table.Edit) (table.Row, error)) []porcupine.Operation {
+// raceEdits lets three operators edit one row by set, step by step, while answers
+// are lost, and returns the history of their edits.
+func raceEdits(seed uint64, set func(*table.Editor, table.Edit) (table.Row, error)) []porcupine.Operation {
 	r := rand.New(rand.NewPCG(seed, 5))
 	clk := &clock.Manual{}
 	mem := store.NewMemory(clk)
@@ -68,35 +71,35 @@
 	var history []porcupine.Operation
 	known := make([]uint64, 3)
 	for step := range int64(60) {
-		who := r.IntN(len(known))
+		operator := r.IntN(len(known))
 		if r.IntN(3) == 0 {
 			if row, err := ed.Get(context.Background(), table.Team, "laval"); err == nil {
-				known[who] = row.Revision
+				known[operator] = row.Revision
 			}
 			continue
 		}
-		in := edit{known[who]}
+		in := editInput{known[operator]}
 		row, err := set(ed, table.Edit{Row: table.Row{Kind: table.Team, Name: "laval", Weight: 1, Limit: int(step)}, Base: in.base})
-		out := ended{ok: err == nil, revision: row.Revision}
+		out := editOutput{ok: err == nil, revision: row.Revision}
 		if _, ok := errors.AsType[*table.UncertainError](err); ok {
 			out.uncertain = true
 		}
 		if out.ok {
-			known[who] = row.Revision
+			known[operator] = row.Revision
 		}
-		history = append(history, porcupine.Operation{ClientId: who, Input: in, Call: 2 * step, Output: out, Return: 2*step + 1})
+		history = append(history, porcupine.Operation{ClientId: operator, Input: in, Call: 2 * step, Output: out, Return: 2*step + 1})
 	}
 	return history
 }
 
 func TestRacingEditsWithLostAnswers(t *testing.T) {
-	const runs, least = 500, 100
+	const histories, minChecked = 500, 100
 	checked := 0
-	for seed := range uint64(runs) {
-		history := operators(seed, func(e *table.Editor, ed table.Edit) (table.Row, error) {
+	for seed := range uint64(histories) {
+		history := raceEdits(seed, func(e *table.Editor, ed table.Edit) (table.Row, error) {
 			return e.Set(context.Background(), ed)
 		})
-		if slices.ContainsFunc(history, func(op porcupine.Operation) bool { return op.Output.(ended).uncertain }) {
+		if slices.ContainsFunc(history, func(op porcupine.Operation) bool { return op.Output.(editOutput).uncertain }) {
 			continue // the register's state is not determined
 		}
 		checked++
@@ -104,16 +107,16 @@
 			t.Fatalf("seed %d: the edits do not behave like a compare-and-swap register", seed)
 		}
 	}
-	if checked < least {
-		t.Errorf("only %d of %d histories could be checked", checked, runs)
+	if checked < minChecked {
+		t.Errorf("%d of %d histories could be checked, want at least %d", checked, histories, minChecked)
 	}
 }
 
-// TestCheckerCatchesBlindRetry shows that the check fails for an editor that
-// takes a lost answer for a failure.
+// TestCheckerCatchesBlindRetry checks that the model rejects an editor that takes
+// a lost answer for a failure.
 func TestCheckerCatchesBlindRetry(t *testing.T) {
 	for seed := range uint64(500) {
-		history := operators(seed, func(e *table.Editor, ed table.Edit) (table.Row, error) {
+		history := raceEdits(seed, func(e *table.Editor, ed table.Edit) (table.Row, error) {
 			row := ed.Row
 			rev, ok, err := e.Store.CompareAndSwap(context.Background(), table.Prefix+row.ID(), []byte(`{"kind":"team","name":"laval"}`), ed.Base)
 			row.Revision = rev
@@ -136,10 +139,10 @@
 	}
 	p.Apply([]table.Row{row(8, 7)}, 7)
 	if p.Apply([]table.Row{row(5, 3)}, 3) {
-		t.Error("an older row was taken for news")
+		t.Error("an older row was applied")
 	}
 	if got, _ := p.Current().Row(table.Team, "laval"); got.Limit != 8 || p.Current().Revision() != 7 {
-		t.Errorf("the replica has %+v at %d", got, p.Current().Revision())
+		t.Errorf("the replica has %+v at revision %d, want limit 8 at revision 7", got, p.Current().Revision())
 	}
 }
 
@@ -158,11 +161,11 @@
 	}
 	edits := table.Diff(before, after)
 	if len(edits) != 1 || edits[0].Row.Limit != 50 || edits[0].Base != 4 {
-		t.Errorf("edits: %+v", edits)
+		t.Errorf("edits are %+v, want one of limit 50 based on revision 4", edits)
 	}
 	for _, bad := range []string{"", "kind,name\n", text.String() + "team,x,much,0,false,\n", text.String() + "team,x,1,-2,false,\n"} {
 		if _, err := table.ReadCSV(strings.NewReader(bad)); err == nil {
-			t.Errorf("accepted %q", bad)
+			t.Errorf("ReadCSV accepted %q", bad)
 		}
 	}
 }
@@ -180,6 +183,6 @@
 		t.Fatal(err)
 	}
 	if items := <-got; len(items) != 1 {
-		t.Errorf("the watch returned %d items", len(items))
+		t.Errorf("the watch returned %d items, want 1", len(items))
 	}
 }
