--- a/store/consul.go
+++ b/store/consul.go
@@ -14,7 +14,7 @@
 	"github.com/zeromicro/go-zero/rest/httpc"
 )
 
-// Consul is a Store that speaks Consul's HTTP API.
+// Consul is a Store that uses Consul's HTTP API.
 type Consul struct {
 	base string
 	http httpc.Service
@@ -27,14 +27,14 @@
 )
 
 // NewConsul returns a Store at the base URL, such as "http://127.0.0.1:8500".
-// The breaker of its HTTP client keeps retries from adding to an overload; a
-// call that it refuses was not sent.
+// The circuit breaker of its HTTP client keeps retries from adding to an
+// overload; a call that it refuses is not sent.
 func NewConsul(base string) *Consul {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idleConns, IdleConnTimeout: time.Minute}}
 	return &Consul{base: base, http: httpc.NewServiceWithClient("keyValueService "+base, client)}
 }
 
-// consulPair is a key in the replies of the API.
+// consulPair is a key with its value in replies of the API.
 type consulPair struct {
 	Key         string
 	Value       []byte
@@ -55,10 +55,12 @@
 	ModifyIndex uint64 `json:",omitempty"`
 }
 
+// consulTxnReply is the reply to a transaction.
 type consulTxnReply struct {
 	Results []consulTxn
 }
 
+// consulSession is a session, the API's form of a lease.
 type consulSession struct {
 	ID        string `json:",omitempty"`
 	TTL       string `json:",omitempty"`
@@ -66,13 +68,15 @@
 	LockDelay string `json:",omitempty"`
 }
 
-// reply is a read reply.
+// reply holds the used parts of an HTTP reply.
 type reply struct {
 	status int
-	index  uint64
+	index  uint64 // the store's revision; 0 if the reply has none
 	body   []byte
 }
 
+// call sends a request and reads the reply. The error has the cause
+// ErrUnavailable if no complete reply arrives or its status is 500 or higher.
 func (c *Consul) call(ctx context.Context, method, path string, body any, timeout time.Duration) (r reply, err error) {
 	defer func() { err = errors.Annotatef(err, "%s %s", method, path) }()
 	ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -187,11 +191,11 @@
 	if r.status == http.StatusConflict {
 		return 0, false, nil
 	}
-	var done consulTxnReply
-	if err := json.Unmarshal(r.body, &done); err != nil || len(done.Results) != 1 {
+	var txnReply consulTxnReply
+	if err := json.Unmarshal(r.body, &txnReply); err != nil || len(txnReply.Results) != 1 {
 		return 0, false, errors.WithType(errors.Errorf("unexpected reply to a write of %s: %.200s", key, r.body), ErrUnavailable)
 	}
-	return done.Results[0].KV.ModifyIndex, true, nil
+	return txnReply.Results[0].KV.ModifyIndex, true, nil
 }
 
 // Grant implements Store.
--- a/store/memory.go
+++ b/store/memory.go
@@ -15,34 +15,35 @@
 
 // Memory is a Store in memory. NewMemory makes one.
 type Memory struct {
-	clock  clock.Clock
-	mu     sync.Mutex // guards all that follows
-	rev    uint64
-	items  map[string]memoryItem
-	marks  map[string]uint64 // last deletion under each first path element
-	leases map[string]*memoryLease
-	nextID uint64
-	change chan struct{} // closed and replaced at each change
+	clock     clock.Clock
+	mu        sync.Mutex // guards the fields below
+	rev       uint64
+	items     map[string]memoryItem
+	deletions map[string]uint64 // by deleted key: the revision of its last deletion
+	leases    map[string]*memoryLease
+	lastID    uint64        // number of the lease granted last
+	changed   chan struct{} // closed and replaced at each change
 }
 
+// memoryItem is an item with the lease that it is bound to, if any.
 type memoryItem struct {
 	Item
 	lease string
 }
 
 type memoryLease struct {
-	ttl time.Duration
-	due time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
-// NewMemory returns an empty store that tells time by clk.
+// NewMemory returns an empty store whose leases expire by the time of clk.
 func NewMemory(clk clock.Clock) *Memory {
 	return &Memory{
-		clock:  clk,
-		items:  make(map[string]memoryItem),
-		marks:  make(map[string]uint64),
-		leases: make(map[string]*memoryLease),
-		change: make(chan struct{}),
+		clock:     clk,
+		items:     make(map[string]memoryItem),
+		deletions: make(map[string]uint64),
+		leases:    make(map[string]*memoryLease),
+		changed:   make(chan struct{}),
 	}
 }
 
@@ -50,7 +51,7 @@
 func (m *Memory) Get(_ context.Context, key string) (Item, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.lapse()
+	m.expireLeases()
 	it, ok := m.items[key]
 	if !ok {
 		return Item{Key: key}, errors.Trace(ErrNotFound)
@@ -62,7 +63,7 @@
 func (m *Memory) List(_ context.Context, prefix string) ([]Item, uint64, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.lapse()
+	m.expireLeases()
 	items, _ := m.list(prefix)
 	return items, m.rev, nil
 }
@@ -76,7 +77,7 @@
 			last = max(last, it.Revision)
 		}
 	}
-	for key, rev := range m.marks {
+	for key, rev := range m.deletions {
 		if strings.HasPrefix(key, prefix) {
 			last = max(last, rev)
 		}
@@ -91,9 +92,9 @@
 	defer timeout.Stop()
 	for {
 		m.mu.Lock()
-		m.lapse()
+		m.expireLeases()
 		items, last := m.list(prefix)
-		rev, change := m.rev, m.change
+		rev, changed := m.rev, m.changed
 		m.mu.Unlock()
 		if last > after {
 			return items, rev, nil
@@ -103,7 +104,7 @@
 			return nil, 0, errors.Trace(ctx.Err())
 		case <-timeout.C:
 			return items, rev, nil
-		case <-change:
+		case <-changed:
 		}
 	}
 }
@@ -115,22 +116,22 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.lapse()
+	m.expireLeases()
 	if m.items[key].Revision != rev {
 		return 0, false, nil
 	}
 	return m.write(key, value, ""), true, nil
 }
 
-// Commit carries out c. The error is a *ConflictError if its guard has another
+// Commit applies c. The error is a *ConflictError if the guard has another
 // revision.
 func (m *Memory) Commit(c *Commit) (rev uint64, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.lapse()
-	if have := m.items[c.Guard].Item; c.Guard != "" && have.Revision != c.Revision {
-		have.Key = c.Guard
-		return 0, &ConflictError{Have: have}
+	m.expireLeases()
+	if guard := m.items[c.Guard].Item; c.Guard != "" && guard.Revision != c.Revision {
+		guard.Key = c.Guard
+		return 0, &ConflictError{Have: guard}
 	}
 	m.rev++
 	for _, w := range c.Writes {
@@ -139,32 +140,32 @@
 	for _, key := range c.Deletes {
 		if _, ok := m.items[key]; ok {
 			delete(m.items, key)
-			m.marks[key] = m.rev
+			m.deletions[key] = m.rev
 		}
 	}
-	m.wake()
+	m.notifyWatchers()
 	return m.rev, nil
 }
 
 func (m *Memory) write(key string, value []byte, lease string) uint64 {
 	m.rev++
 	m.items[key] = memoryItem{Item: Item{Key: key, Value: slices.Clone(value), Revision: m.rev}, lease: lease}
-	m.wake()
+	m.notifyWatchers()
 	return m.rev
 }
 
-func (m *Memory) wake() {
-	close(m.change)
-	m.change = make(chan struct{})
+func (m *Memory) notifyWatchers() {
+	close(m.changed)
+	m.changed = make(chan struct{})
 }
 
 // Grant implements Store.
 func (m *Memory) Grant(_ context.Context, ttl time.Duration) (string, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.nextID++
-	id := "lease-" + strconv.FormatUint(m.nextID, 10)
-	m.leases[id] = &memoryLease{ttl: ttl, due: m.clock.Now().Add(ttl)}
+	m.lastID++
+	id := "lease-" + strconv.FormatUint(m.lastID, 10)
+	m.leases[id] = &memoryLease{ttl: ttl, expiresAt: m.clock.Now().Add(ttl)}
 	return id, nil
 }
 
@@ -172,12 +173,12 @@
 func (m *Memory) Renew(_ context.Context, lease string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.lapse()
+	m.expireLeases()
 	l := m.leases[lease]
 	if l == nil {
 		return errors.Trace(ErrNoLease)
 	}
-	l.due = m.clock.Now().Add(l.ttl)
+	l.expiresAt = m.clock.Now().Add(l.ttl)
 	return nil
 }
 
@@ -188,7 +189,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.lapse()
+	m.expireLeases()
 	if m.leases[lease] == nil {
 		return errors.Trace(ErrNoLease)
 	}
@@ -200,28 +201,29 @@
 func (m *Memory) Revoke(_ context.Context, lease string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.end(lease)
+	m.endLease(lease)
 	return nil
 }
 
-// lapse ends the leases that were not renewed in time.
-func (m *Memory) lapse() {
+// expireLeases ends the leases that were not renewed in time.
+func (m *Memory) expireLeases() {
 	now := m.clock.Now()
 	for id, l := range m.leases {
-		if l.due.Before(now) {
-			m.end(id)
+		if l.expiresAt.Before(now) {
+			m.endLease(id)
 		}
 	}
 }
 
-func (m *Memory) end(lease string) {
+// endLease ends a lease and deletes its keys.
+func (m *Memory) endLease(lease string) {
 	delete(m.leases, lease)
 	for key, it := range m.items {
 		if it.lease == lease {
 			m.rev++
 			delete(m.items, key)
-			m.marks[key] = m.rev
-			m.wake()
+			m.deletions[key] = m.rev
+			m.notifyWatchers()
 		}
 	}
 }
--- a/store/server.go
+++ b/store/server.go
@@ -13,15 +13,15 @@
 	"github.com/juju/errors"
 )
 
-// Faults are the switches of the stand-in.
+// Faults selects the faults that a Server injects.
 type Faults struct {
-	Outage      bool          `json:"outage"`      // refuse every call
+	Outage      bool          `json:"outage"`      // close every connection without an answer
 	Delay       time.Duration `json:"delay"`       // before every answer, in nanoseconds
-	LoseAnswers bool          `json:"loseAnswers"` // drop answers to writes that took effect
+	DropReplies bool          `json:"loseAnswers"` // drop the answers to writes, which still take effect
 }
 
-// Server serves a Memory over Consul's HTTP API. Its switches are read and set
-// at /faults; /calls tells how many calls it got.
+// Server serves a Memory over Consul's HTTP API. Its faults are read and set at
+// /faults; /calls returns the numbers of reads and writes that it received.
 type Server struct {
 	store  *Memory
 	mu     sync.Mutex // guards faults
@@ -38,21 +38,21 @@
 // Store returns the store that is served.
 func (s *Server) Store() *Memory { return s.store }
 
-// SetFaults replaces the switches.
+// SetFaults replaces the faults to inject.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Faults returns the switches.
+// Faults returns the faults that are injected.
 func (s *Server) Faults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// Calls returns the number of reads, waiting ones included, and of writes.
+// Calls returns the numbers of reads, watches included, and of writes.
 func (s *Server) Calls() (reads, writes uint64) {
 	return s.reads.Load(), s.writes.Load()
 }
@@ -60,61 +60,68 @@
 // Handler returns the HTTP handler.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/kv/{key...}", s.read(s.get))
-	mux.HandleFunc("PUT /v1/kv/{key...}", s.write(s.put))
-	mux.HandleFunc("PUT /v1/txn", s.write(s.txn))
-	mux.HandleFunc("PUT /v1/session/create", s.write(s.create))
-	mux.HandleFunc("PUT /v1/session/renew/{id}", s.write(s.renew))
-	mux.HandleFunc("PUT /v1/session/destroy/{id}", s.write(s.destroy))
+	mux.HandleFunc("GET /v1/kv/{key...}", s.readHandler(s.get))
+	mux.HandleFunc("PUT /v1/kv/{key...}", s.writeHandler(s.put))
+	mux.HandleFunc("PUT /v1/txn", s.writeHandler(s.txn))
+	mux.HandleFunc("PUT /v1/session/create", s.writeHandler(s.createSession))
+	mux.HandleFunc("PUT /v1/session/renew/{id}", s.writeHandler(s.renewSession))
+	mux.HandleFunc("PUT /v1/session/destroy/{id}", s.writeHandler(s.destroySession))
 	mux.HandleFunc("GET /faults", s.getFaults)
 	mux.HandleFunc("PUT /faults", s.putFaults)
 	mux.HandleFunc("GET /calls", s.getCalls)
 	return mux
 }
 
-// answer is what a handler found; it is written, or lost, afterwards.
+// answer is the result of a handler; it is written to the client unless a fault
+// drops it.
 type answer struct {
 	status int
 	index  uint64
 	body   any
 }
 
+// handler serves one call and leaves the writing of its answer to the caller.
 type handler func(r *http.Request) (answer, error)
 
-func (s *Server) read(h handler) http.HandlerFunc {
+// readHandler serves reads by h, with faults. An outage that begins while a read
+// waits drops its answer.
+func (s *Server) readHandler(h handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.reads.Add(1)
-		if !s.ready(w, r) {
+		if !s.applyFaults(w, r) {
 			return
 		}
 		ans, err := h(r)
 		if s.Faults().Outage {
-			hangUp(w)
+			closeConnection(w)
 			return
 		}
 		respond(w, ans, err)
 	}
 }
 
-func (s *Server) write(h handler) http.HandlerFunc {
+// writeHandler serves writes by h, with faults. A dropped answer does not undo the
+// write.
+func (s *Server) writeHandler(h handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.writes.Add(1)
-		if !s.ready(w, r) {
+		if !s.applyFaults(w, r) {
 			return
 		}
 		ans, err := h(r)
-		if s.Faults().LoseAnswers {
-			hangUp(w)
+		if s.Faults().DropReplies {
+			closeConnection(w)
 			return
 		}
 		respond(w, ans, err)
 	}
 }
 
-func (s *Server) ready(w http.ResponseWriter, r *http.Request) bool {
+// applyFaults delays or drops a call, and reports whether to serve it.
+func (s *Server) applyFaults(w http.ResponseWriter, r *http.Request) bool {
 	f := s.Faults()
 	if f.Outage {
-		hangUp(w)
+		closeConnection(w)
 		return false
 	}
 	if f.Delay <= 0 {
@@ -128,8 +135,8 @@
 	}
 }
 
-// hangUp closes the connection without an answer.
-func hangUp(w http.ResponseWriter) {
+// closeConnection closes the connection without an answer.
+func closeConnection(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		panic(http.ErrAbortHandler)
@@ -216,7 +223,7 @@
 	return answer{status: http.StatusOK, index: rev, body: consulTxnReply{Results: []consulTxn{res}}}, nil
 }
 
-func (s *Server) create(r *http.Request) (answer, error) {
+func (s *Server) createSession(r *http.Request) (answer, error) {
 	var sess consulSession
 	if err := json.NewDecoder(r.Body).Decode(&sess); err != nil {
 		return answer{}, err
@@ -229,7 +236,7 @@
 	return answer{status: http.StatusOK, body: consulSession{ID: id}}, err
 }
 
-func (s *Server) renew(r *http.Request) (answer, error) {
+func (s *Server) renewSession(r *http.Request) (answer, error) {
 	err := s.store.Renew(r.Context(), r.PathValue("id"))
 	if errors.Is(err, ErrNoLease) {
 		return answer{status: http.StatusNotFound}, nil
@@ -237,7 +244,7 @@
 	return answer{status: http.StatusOK, body: []consulSession{}}, err
 }
 
-func (s *Server) destroy(r *http.Request) (answer, error) {
+func (s *Server) destroySession(r *http.Request) (answer, error) {
 	err := s.store.Revoke(r.Context(), r.PathValue("id"))
 	return answer{status: http.StatusOK, body: true}, err
 }
--- a/store/store.go
+++ b/store/store.go
@@ -1,17 +1,17 @@
-// Package store talks to the platform's key-value service.
+// Package store is the client of the platform's key-value service.
 //
 // # Model
 //
 // The service holds keys with values up to a megabyte. Each write gets the
-// next revision of the whole store. Writes can be made conditional on a key's
+// next revision of the whole store. Writes can be conditional on a key's
 // revision, and a read can wait until something under a prefix is newer than a
-// given revision. The service may be slow or down for long, and the answer to
-// a write may be lost after the write took effect: an error of a write means
-// that nothing is known about it.
+// given revision. The service may be slow or down for a long time, and the
+// answer to a write may be lost after the write took effect: after an error it
+// is unknown whether the write took effect.
 //
-// Consul speaks the key-value and session parts of Consul's published HTTP
-// API. Memory is a store in memory; Server serves a Memory over the same API,
-// with switches for outages, and takes the place of the platform in tests.
+// Consul uses the key-value and session parts of Consul's published HTTP API.
+// Memory is a store in memory. Server serves a Memory over the same API and can
+// inject faults; it stands in for the platform in tests.
 //
 // # Usage
 //
@@ -35,34 +35,34 @@
 	Revision uint64
 }
 
-// MaxValue is the largest value, in bytes.
+// MaxValue is the maximum size of a value, in bytes.
 const MaxValue = 1 << 20
 
-// ErrNotFound is the cause of an error about a key that does not exist.
+// ErrNotFound is the cause of the error if a key does not exist.
 const ErrNotFound = errors.ConstError("key not found")
 
-// ErrTooLarge is the cause of an error about a value over MaxValue.
+// ErrTooLarge is the cause of the error if a value is larger than MaxValue.
 const ErrTooLarge = errors.ConstError("value too large")
 
-// ErrUnavailable is the cause of an error of a service that does not answer.
+// ErrUnavailable is the cause of the error if the service does not answer.
 const ErrUnavailable = errors.ConstError("key-value service unavailable")
 
-// ErrRefused is the cause of an error of a write that was refused: nothing was
-// done.
+// ErrRefused is the cause of the error if the service refused a write, which then
+// had no effect.
 const ErrRefused = errors.ConstError("key-value service refused the call")
 
-// Commit is a set of writes and deletions that is carried out whole or not at
+// Commit is a set of writes and deletions that take effect together or not at
 // all. Only Key and Value of the writes are used.
 type Commit struct {
-	Guard    string // key that must have Revision; empty for no condition
-	Revision uint64 // 0: the key must not exist
+	Guard    string // key that must be at Revision; empty for no condition
+	Revision uint64 // 0 if the guard must not exist
 	Writes   []Item
 	Deletes  []string
 }
 
-// ConflictError tells that the guard of a Commit has another revision.
+// ConflictError reports that the guard of a Commit has another revision.
 type ConflictError struct {
-	Have Item // the guard as it is; with revision 0 if it does not exist
+	Have Item // the guard as stored; with revision 0 if it does not exist
 }
 
 // Error implements error.
@@ -70,8 +70,8 @@
 	return fmt.Sprintf("key %q has revision %d", e.Have.Key, e.Have.Revision)
 }
 
-// ErrNoLease is the cause of an error about a lease that has lapsed.
-const ErrNoLease = errors.ConstError("lease has lapsed")
+// ErrNoLease is the cause of the error if a lease has expired.
+const ErrNoLease = errors.ConstError("lease has expired")
 
 // Store is the key-value service. All methods are safe for concurrent use.
 type Store interface {
@@ -80,16 +80,17 @@
 	// List returns the items under prefix and the store's revision.
 	List(ctx context.Context, prefix string) ([]Item, uint64, error)
 	// Watch waits until the state under prefix is newer than revision after,
-	// or wait has passed, and returns what List returns.
+	// but no longer than wait, and returns what List returns.
 	Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]Item, uint64, error)
 	// CompareAndSwap writes value if the key's revision is rev; rev 0 means
-	// that the key must not exist. It returns the new revision.
+	// that the key must not exist. It returns the new revision, and false if
+	// the key is at another revision.
 	CompareAndSwap(ctx context.Context, key string, value []byte, rev uint64) (uint64, bool, error)
-	// Grant creates a lease that lapses when it is not renewed within ttl.
+	// Grant creates a lease that expires if it is not renewed within ttl.
 	Grant(ctx context.Context, ttl time.Duration) (lease string, err error)
-	// Renew extends a lease or returns ErrNoLease.
+	// Renew extends a lease by its ttl, or returns ErrNoLease.
 	Renew(ctx context.Context, lease string) error
-	// PutLeased writes a key that is deleted when the lease lapses.
+	// PutLeased writes a key that is deleted when the lease expires.
 	PutLeased(ctx context.Context, key string, value []byte, lease string) error
 	// Revoke ends a lease and deletes its keys.
 	Revoke(ctx context.Context, lease string) error
