--- a/store/store.go
+++ b/store/store.go
@@ -71,7 +71,7 @@
 }
 
 // ErrNoLease is the cause of the error if a lease has expired.
-const ErrNoLease = errors.ConstError("lease has expired")
+const ErrNoLease = errors.ConstError("lease has lapsed")
 
 // Store is the key-value service. All methods are safe for concurrent use.
 type Store interface {
