--- a/member/member_test.go
+++ b/member/member_test.go
@@ -167,7 +167,7 @@
 		t.Errorf("changes were %v, want %s", got, want)
 	}
 	if after := removedAt.Sub(start); after < 2*window {
-		t.Errorf("the agent was removed after %v, want at least %v", after, 2*window)
+		t.Errorf("the agent was removed after %v, want two windows at least", after)
 	}
 }
 
--- a/table/table_test.go
+++ b/table/table_test.go
@@ -108,7 +108,7 @@
 		}
 	}
 	if checked < minChecked {
-		t.Errorf("%d of %d histories could be checked, want at least %d", checked, histories, minChecked)
+		t.Errorf("only %d of %d histories could be checked", checked, histories)
 	}
 }
 
