--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,8 +1,8 @@
-// Package clock is the source of time for every duty of masticbay.
+// Package clock provides the current time to the goroutines of masticbay.
 //
 // Decision code never reads the wall clock: it receives the current time with
-// each event. The duties around it hold a Clock, so that a test can drive them
-// with virtual time, either through Manual or through testing/synctest.
+// each event. The loops that call it hold a Clock, so that a test can drive them
+// with virtual time, through either Manual or testing/synctest.
 //
 // # Usage
 //
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// Clock tells the current time. Implementations are safe for concurrent use.
+// Clock returns the current time. Implementations are safe for concurrent use.
 type Clock interface {
 	Now() time.Time
 }
@@ -28,14 +28,14 @@
 	return time.Now()
 }
 
-// Manual is a clock that moves only when it is told to. The zero value stands
-// at the zero time.
+// Manual is a clock that moves only when Advance is called. The zero value
+// starts at the zero time.
 type Manual struct {
 	mu  sync.Mutex // guards now
 	now time.Time
 }
 
-// Now returns the time that the clock was last moved to.
+// Now returns the time to which the clock was last advanced.
 func (m *Manual) Now() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/command/agent.go
+++ b/command/agent.go
@@ -15,12 +15,12 @@
 		Usage: "runs an agent: the process beside a target that starts its tasks",
 		Flags: []cli.Flag{configFlag()},
 		Action: func(_ context.Context, cmd *cli.Command) error {
-			cfg, err := settings[setting.Agent](cmd)
+			cfg, err := readSettings[setting.Agent](cmd)
 			if err != nil {
 				return err
 			}
 			limit := cfg.StopTimeout.D()
-			log, flush, err := observe("agent", cfg.Common, limit)
+			log, flush, err := setUpTelemetry("agent", cfg.Common, limit)
 			if err != nil {
 				return err
 			}
@@ -29,7 +29,7 @@
 			if err != nil {
 				return err
 			}
-			return serve(a, limit)
+			return runDaemon(a, limit)
 		},
 	}
 }
--- a/command/client.go
+++ b/command/client.go
@@ -47,8 +47,8 @@
 
 const replyTimeout = 2 * time.Minute
 
-// call sends a request to an entry and decodes the reply into R.
-func call[R any](ctx context.Context, cmd *cli.Command, method, path string, body any) (rep R, err error) {
+// callEntry sends a request to an entry and decodes the reply into R.
+func callEntry[R any](ctx context.Context, cmd *cli.Command, method, path string, body any) (rep R, err error) {
 	defer func() { err = errors.Annotatef(err, "%s %s", method, path) }()
 	ctx, cancel := context.WithTimeout(ctx, replyTimeout)
 	defer cancel()
@@ -75,12 +75,12 @@
 		return rep, err
 	}
 	if resp.StatusCode >= http.StatusBadRequest {
-		return rep, problem(resp.StatusCode, raw)
+		return rep, decodeProblem(resp.StatusCode, raw)
 	}
 	return rep, json.Unmarshal(raw, &rep)
 }
 
-func problem(status int, raw []byte) error {
+func decodeProblem(status int, raw []byte) error {
 	p := &problemError{status: status}
 	if err := json.Unmarshal(raw, &p.Problem); err != nil {
 		return errors.Errorf("status %d: %.200s", status, bytes.TrimSpace(raw))
@@ -88,8 +88,8 @@
 	return p
 }
 
-// show prints v as JSON if asked to, or by text otherwise.
-func show(cmd *cli.Command, v any, text func(w io.Writer)) error {
+// printOutput prints v as JSON if asked to, or by text otherwise.
+func printOutput(cmd *cli.Command, v any, text func(w io.Writer)) error {
 	if cmd.String("output") != "json" {
 		text(os.Stdout)
 		return nil
--- a/command/config.go
+++ b/command/config.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		return err
 	}
-	role, err := setting.Kind(raw)
+	role, err := setting.FileRole(raw)
 	if err != nil {
 		return err
 	}
--- a/command/daemon.go
+++ b/command/daemon.go
@@ -15,8 +15,8 @@
 	"masticbay/web"
 )
 
-// settings reads the file that the flag names, or returns the defaults.
-func settings[T setting.Role](cmd *cli.Command) (cfg T, err error) {
+// readSettings reads the file that the flag names, or returns the defaults.
+func readSettings[T setting.Role](cmd *cli.Command) (cfg T, err error) {
 	path := cmd.String("config")
 	if path == "" {
 		cfg = setting.Default[T]()
@@ -25,17 +25,17 @@
 	return setting.Read[T](path)
 }
 
-// stopper is a daemon that is running.
-type stopper interface {
+// daemon is a daemon that is running.
+type daemon interface {
 	Stop(ctx context.Context) error
 	Done() <-chan struct{} // closed when the daemon has ended
 }
 
-// serve runs a daemon until a signal asks it to stop, and stops it gracefully
+// runDaemon runs a daemon until a signal asks it to stop, and stops it gracefully
 // within limit. It is an error if the daemon ends by itself.
-func serve(d stopper, limit time.Duration) error {
+func runDaemon(d daemon, limit time.Duration) error {
 	select {
-	case <-signalled():
+	case <-stopSignal():
 	case <-d.Done():
 		return errors.New("the daemon has ended by itself; see its log")
 	}
@@ -44,23 +44,23 @@
 	return d.Stop(ctx)
 }
 
-// observe sets up the log and the traces of a daemon.
-func observe(role string, c setting.Common, limit time.Duration) (log zerolog.Logger, flush func(), err error) {
-	web.AllowSlowStop(limit + stopSlack)
+// setUpTelemetry sets up the log and the traces of a daemon.
+func setUpTelemetry(role string, c setting.Common, limit time.Duration) (log zerolog.Logger, flush func(), err error) {
+	web.AllowSlowStop(limit + stopMargin)
 	log = telemetry.NewLog(os.Stderr, c.LogLevel, role)
 	stop, err := telemetry.StartTraces(role, c.Traces, c.TraceRatio)
 	if err != nil {
 		return log, nil, err
 	}
 	return log, func() {
-		ctx, cancel := context.WithTimeout(context.Background(), stopSlack)
+		ctx, cancel := context.WithTimeout(context.Background(), stopMargin)
 		defer cancel()
 		_ = stop(ctx)
 	}, nil
 }
 
-// stopSlack is what a stop may take beside its own limit.
-const stopSlack = 10 * time.Second
+// stopMargin is what a stop may take beside its own limit.
+const stopMargin = 10 * time.Second
 
 // openAppend opens a file to append to; an empty path discards.
 func openAppend(path string) (io.Writer, error) {
--- a/command/demo.go
+++ b/command/demo.go
@@ -26,7 +26,7 @@
 			if cmd.Int("jobs") < 1 {
 				return usagef("--jobs: %d is not allowed; want at least 1", cmd.Int("jobs"))
 			}
-			cfg := demo.Config{Jobs: cmd.Int("jobs"), For: cmd.Duration("for"), Seed: cmd.Int("seed")}
+			cfg := demo.Config{Jobs: cmd.Int("jobs"), SubmitDuration: cmd.Duration("for"), Seed: cmd.Int("seed")}
 			if cmd.Bool("verbose") {
 				cfg.Log = os.Stderr
 			}
--- a/command/end.go
+++ b/command/end.go
@@ -23,11 +23,11 @@
 				return usagef("want one ENTRY, got %d arguments", cmd.Args().Len())
 			}
 			path := "/v1/entries/" + url.PathEscape(cmd.Args().First()) + "/end"
-			rep, err := call[entry.EndReply](ctx, cmd, http.MethodPost, path, nil)
+			rep, err := callEntry[entry.EndReply](ctx, cmd, http.MethodPost, path, nil)
 			if err != nil {
 				return err
 			}
-			return show(cmd, rep, func(w io.Writer) { _, _ = fmt.Fprintf(w, "entry %s has ended\n", rep.Entry) })
+			return printOutput(cmd, rep, func(w io.Writer) { _, _ = fmt.Fprintf(w, "entry %s has ended\n", rep.Entry) })
 		},
 	}
 }
--- a/command/entry.go
+++ b/command/entry.go
@@ -20,12 +20,12 @@
 			if cmd.Args().Present() {
 				return usagef("no command %q of entry; see masticbay entry --help", cmd.Args().First())
 			}
-			cfg, err := settings[setting.Entry](cmd)
+			cfg, err := readSettings[setting.Entry](cmd)
 			if err != nil {
 				return err
 			}
 			limit := cfg.Limits.StopTimeout.D()
-			log, flush, err := observe("entry", cfg.Common, limit)
+			log, flush, err := setUpTelemetry("entry", cfg.Common, limit)
 			if err != nil {
 				return err
 			}
@@ -34,7 +34,7 @@
 			if err != nil {
 				return err
 			}
-			return serve(e, limit)
+			return runDaemon(e, limit)
 		},
 	}
 }
--- a/command/fleet.go
+++ b/command/fleet.go
@@ -28,7 +28,7 @@
 			&cli.DurationFlag{Name: "for", Value: time.Minute, Usage: "duration; then the messages and bytes that were sent are printed"},
 		},
 		Action: func(_ context.Context, cmd *cli.Command) error {
-			cfg, err := settings[setting.Agent](cmd)
+			cfg, err := readSettings[setting.Agent](cmd)
 			if err != nil {
 				return err
 			}
@@ -37,8 +37,8 @@
 	}
 }
 
-// portsOfAgent is the number of ports for one agent and its target.
-const portsOfAgent = 3
+// portsPerAgent is the number of ports for one agent and its target.
+const portsPerAgent = 3
 
 // fleetReport is what a fleet has sent.
 type fleetReport struct {
@@ -51,7 +51,7 @@
 	defer func() { err = errors.Annotate(err, "running a fleet") }()
 	var agents []*agent.Agent
 	for i := range count {
-		a, err := startMember(cfg, i, port+portsOfAgent*i)
+		a, err := startAgentAndTarget(cfg, i, port+portsPerAgent*i)
 		if err != nil {
 			return err
 		}
@@ -66,8 +66,8 @@
 	return json.NewEncoder(os.Stdout).Encode(rep)
 }
 
-// startMember starts one agent and the target beside it.
-func startMember(cfg setting.Agent, i, port int) (*agent.Agent, error) {
+// startAgentAndTarget starts one agent and the target beside it.
+func startAgentAndTarget(cfg setting.Agent, i, port int) (*agent.Agent, error) {
 	host, _, err := net.SplitHostPort(cfg.RPC)
 	if err != nil {
 		return nil, err
@@ -81,7 +81,7 @@
 	t := setting.Default[setting.Target]()
 	_, err = target.Start(target.Config{
 		Address: address(2), AgentURL: "http://" + cfg.HTTP, Name: "target" + strconv.Itoa(i+1),
-		Service: t.Service, Slots: t.Slots, Median: t.Median.D(), Sigma: t.Sigma, Seed: i, Announce: t.Announce.D(),
+		Service: t.Service, Slots: t.Slots, Median: t.Median.D(), Sigma: t.Sigma, Seed: i, AnnounceInterval: t.AnnounceInterval.D(),
 	})
 	return a, err
 }
--- a/command/job.go
+++ b/command/job.go
@@ -46,7 +46,7 @@
 			if err != nil {
 				return err
 			}
-			ans, err := call[job.Answer](ctx, cmd, http.MethodPost, "/v1/jobs", req)
+			ans, err := callEntry[job.Answer](ctx, cmd, http.MethodPost, "/v1/jobs", req)
 			if err != nil {
 				return err
 			}
@@ -87,7 +87,7 @@
 
 // showAnswer prints an answer; a job that failed is an error.
 func showAnswer(cmd *cli.Command, ans *job.Answer) error {
-	err := show(cmd, ans, func(w io.Writer) {
+	err := printOutput(cmd, ans, func(w io.Writer) {
 		_, _ = fmt.Fprintf(w, "%s %s: %d done, %d failed, %d notRun, %d unknown, %d queued, %d dispatched\n", ans.Key, ans.Status,
 			ans.Counts.Done, ans.Counts.Failed, ans.Counts.NotRun, ans.Counts.Unknown, ans.Counts.Queued, ans.Counts.Dispatched)
 		if ans.Reason != "" {
@@ -131,7 +131,7 @@
 			if err != nil {
 				return err
 			}
-			return show(cmd, ans, func(w io.Writer) { _, _ = fmt.Fprintf(w, "%s is cancelled\n", ans.Key) })
+			return printOutput(cmd, ans, func(w io.Writer) { _, _ = fmt.Fprintf(w, "%s is cancelled\n", ans.Key) })
 		},
 	}
 }
@@ -146,5 +146,5 @@
 		return ans, usagef("want one KEY, got %d arguments", cmd.Args().Len())
 	}
 	path := "/v1/jobs/" + url.PathEscape(cmd.String("team")) + "/" + url.PathEscape(cmd.Args().First())
-	return call[job.Answer](ctx, cmd, method, path+query, nil)
+	return callEntry[job.Answer](ctx, cmd, method, path+query, nil)
 }
--- a/command/load.go
+++ b/command/load.go
@@ -40,7 +40,7 @@
 				prefix = identity.New("load")
 			}
 			rep, err := load.Run(ctx, load.Config{
-				Entries: strings.Split(cmd.String("entries"), ","), Rate: cmd.Float("rate"), For: cmd.Duration("for"),
+				Entries: strings.Split(cmd.String("entries"), ","), Rate: cmd.Float("rate"), Duration: cmd.Duration("for"),
 				Tasks: cmd.Int("tasks"), Team: cmd.String("team"), Service: cmd.String("service"), Prefix: prefix,
 				Idempotent: cmd.Float("idempotent"), Resubmit: cmd.Float("resubmit"), Cancel: cmd.Float("cancel"),
 				Deadline: cmd.Duration("deadline"), RunMillis: cmd.Float("run-millis"),
@@ -49,7 +49,7 @@
 			if err != nil {
 				return usagef("%v", err)
 			}
-			return show(cmd, rep, func(w io.Writer) { printLoad(w, &rep) })
+			return printOutput(cmd, rep, func(w io.Writer) { printLoad(w, &rep) })
 		},
 	}
 }
--- a/command/platform.go
+++ b/command/platform.go
@@ -23,7 +23,7 @@
 		Usage: "runs a stand-in of the platform's key-value service, for tests",
 		Flags: []cli.Flag{configFlag()},
 		Action: func(_ context.Context, cmd *cli.Command) error {
-			cfg, err := settings[setting.Platform](cmd)
+			cfg, err := readSettings[setting.Platform](cmd)
 			if err != nil {
 				return err
 			}
@@ -36,7 +36,7 @@
 			h := &http.Server{Handler: srv.Handler(), ReadHeaderTimeout: headerTimeout}
 			go func() { _ = h.Serve(ln) }()
 			log.Info().Str("http", cfg.HTTP).Msg("key-value stand-in started")
-			<-signalled()
+			<-stopSignal()
 			return h.Close()
 		},
 	}
--- a/command/run.go
+++ b/command/run.go
@@ -60,20 +60,20 @@
 			return cli.ShowRootCommandHelp(cmd)
 		},
 	}
-	inheritUsageError(root.Commands, root.OnUsageError)
+	setUsageErrorHandler(root.Commands, root.OnUsageError)
 	telemetry.NewLog(io.Discard, "error", "cli") // daemons set up their own
 	err := root.Run(context.Background(), args)
-	return report(err)
+	return exitCode(err)
 }
 
-func inheritUsageError(cmds []*cli.Command, f cli.OnUsageErrorFunc) {
+func setUsageErrorHandler(cmds []*cli.Command, f cli.OnUsageErrorFunc) {
 	for _, c := range cmds {
 		c.OnUsageError = f
-		inheritUsageError(c.Commands, f)
+		setUsageErrorHandler(c.Commands, f)
 	}
 }
 
-func report(err error) int {
+func exitCode(err error) int {
 	if err == nil {
 		return exitOK
 	}
@@ -90,8 +90,8 @@
 	return exitFailed
 }
 
-// signalled returns a channel that gets a SIGINT or SIGTERM.
-func signalled() <-chan os.Signal {
+// stopSignal returns a channel that gets a SIGINT or SIGTERM.
+func stopSignal() <-chan os.Signal {
 	ch := make(chan os.Signal, 1)
 	signal.Notify(ch, syscall.SIGINT, syscall.SIGTERM)
 	return ch
--- a/command/site.go
+++ b/command/site.go
@@ -41,10 +41,10 @@
 
 // siteProcess is what a process on the users' platform is made of.
 type siteProcess struct {
-	node *platform.Node
-	cfg  setting.Site
-	log  zerolog.Logger
-	end  func() // writes what is left of logs and traces
+	node  *platform.Node
+	cfg   setting.Site
+	log   zerolog.Logger
+	flush func() // writes what is left of logs and traces
 }
 
 // prepareSite reads the platform's settings and the product's own, and sets up
@@ -66,7 +66,7 @@
 	}
 	log, flush := siteLog(role, p.cfg.LogLevel)
 	p.log = log
-	p.end = func() {
+	p.flush = func() {
 		ctx, cancel := context.WithTimeout(context.Background(), stopReserve/2)
 		defer cancel()
 		if err := stopTraces(ctx); err != nil {
@@ -77,14 +77,14 @@
 	return p, nil
 }
 
-// logRing is how many lines wait for standard output; when it is full, lines
+// maxBufferedLogLines is how many lines wait for standard output; when it is full, lines
 // are dropped and counted, so that nothing waits for a reader.
-const logRing = 4096
+const maxBufferedLogLines = 4096
 
 // siteLog returns a log to standard output that never blocks, and a function
 // that writes what is left.
 func siteLog(role, level string) (log zerolog.Logger, flush func()) {
-	w := diode.NewWriter(os.Stdout, logRing, 0, func(missed int) {
+	w := diode.NewWriter(os.Stdout, maxBufferedLogLines, 0, func(missed int) {
 		fmt.Fprintf(os.Stderr, "{\"level\":\"warn\",\"message\":\"log lines dropped\",\"lines\":%d}\n", missed)
 	})
 	return telemetry.NewLog(w, level, role), func() { _ = w.Close() }
@@ -95,13 +95,13 @@
 	if err != nil {
 		return err
 	}
-	defer p.end()
+	defer p.flush()
 	e, err := site.StartEntry(site.EntryOptions{Node: p.node, Log: p.log, Listen: p.cfg.Listen, RequestLines: p.cfg.RequestLines})
 	if err != nil {
 		return err
 	}
 	reloadOnHangup(e, p.log)
-	return serve(e, p.node.Grace-stopReserve)
+	return runDaemon(e, p.node.Grace-stopReserve)
 }
 
 // reloader takes changed settings while it runs.
@@ -132,11 +132,11 @@
 	if err != nil {
 		return err
 	}
-	defer p.end()
+	defer p.flush()
 	a, err := site.StartAgent(site.AgentOptions{Node: p.node, Log: p.log, Listen: p.cfg.Listen, RequestLines: p.cfg.RequestLines})
 	if err != nil {
 		return err
 	}
 	reloadOnHangup(a, p.log)
-	return serve(a, p.node.Grace-stopReserve)
+	return runDaemon(a, p.node.Grace-stopReserve)
 }
--- a/command/site_demo.go
+++ b/command/site_demo.go
@@ -27,7 +27,7 @@
 			if cmd.Int("jobs") < 1 {
 				return usagef("--jobs: %d is not allowed; want at least 1", cmd.Int("jobs"))
 			}
-			cfg := demo.SiteConfig{Jobs: cmd.Int("jobs"), For: cmd.Duration("for"), Log: zerolog.Nop()}
+			cfg := demo.SiteConfig{Jobs: cmd.Int("jobs"), SubmitDuration: cmd.Duration("for"), Log: zerolog.Nop()}
 			if cmd.Bool("verbose") {
 				cfg.Log = telemetry.NewLog(os.Stderr, "info", "site")
 			}
@@ -38,7 +38,7 @@
 			if err := json.NewEncoder(os.Stdout).Encode(rep); err != nil {
 				return err
 			}
-			if rep.Broken() {
+			if rep.HasViolations() {
 				return errors.New("a promise was broken; see the counts above")
 			}
 			return nil
--- a/command/spreadsheet.go
+++ b/command/spreadsheet.go
@@ -22,7 +22,7 @@
 		Usage: "writes the table as CSV to standard output",
 		Flags: []cli.Flag{entryFlag()},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			rows, err := call[[]table.Row](ctx, cmd, http.MethodGet, "/v1/table", nil)
+			rows, err := callEntry[[]table.Row](ctx, cmd, http.MethodGet, "/v1/table", nil)
 			if err != nil {
 				return err
 			}
@@ -60,7 +60,7 @@
 	if err != nil {
 		return usagef("%v", err)
 	}
-	before, err := call[[]table.Row](ctx, cmd, http.MethodGet, "/v1/table", nil)
+	before, err := callEntry[[]table.Row](ctx, cmd, http.MethodGet, "/v1/table", nil)
 	if err != nil {
 		return err
 	}
@@ -91,7 +91,7 @@
 			if cmd.Args().Len() != 1 {
 				return usagef("want one FILE, got %d arguments", cmd.Args().Len())
 			}
-			rows, err := call[[]table.Row](ctx, cmd, http.MethodGet, "/v1/table", nil)
+			rows, err := callEntry[[]table.Row](ctx, cmd, http.MethodGet, "/v1/table", nil)
 			if err != nil {
 				return err
 			}
--- a/command/status.go
+++ b/command/status.go
@@ -17,8 +17,8 @@
 	columnGap = 2
 )
 
-// columns prints rows of tab-separated cells in aligned columns.
-func columns(w io.Writer, f func(w io.Writer)) {
+// printColumns prints rows of tab-separated cells in aligned columns.
+func printColumns(w io.Writer, f func(w io.Writer)) {
 	tw := tabwriter.NewWriter(w, columnMin, 0, columnGap, ' ', 0)
 	f(tw)
 	_ = tw.Flush()
@@ -30,11 +30,11 @@
 		Usage: "prints entries, agents, queues and the table revision as an entry sees them",
 		Flags: []cli.Flag{entryFlag(), outputFlag()},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			st, err := call[entry.StatusReply](ctx, cmd, http.MethodGet, "/v1/status", nil)
+			st, err := callEntry[entry.StatusReply](ctx, cmd, http.MethodGet, "/v1/status", nil)
 			if err != nil {
 				return err
 			}
-			return show(cmd, st, func(w io.Writer) { printStatus(w, &st) })
+			return printOutput(cmd, st, func(w io.Writer) { printStatus(w, &st) })
 		},
 	}
 }
@@ -42,15 +42,15 @@
 func printStatus(w io.Writer, st *entry.StatusReply) {
 	_, _ = fmt.Fprintf(w, "entry %s in %s: %d open jobs, table revision %d, registry revision %d, settled %t, ready %t, stopping %t, %d entries lost\n\n",
 		st.Entry, st.DataCentre, st.OpenJobs, st.TableRevision, st.Registry, st.Settled, st.Ready, st.Stopping, len(st.Lost))
-	columns(w, func(w io.Writer) {
+	printColumns(w, func(w io.Writer) {
 		_, _ = fmt.Fprintln(w, "ENTRY\tDATA CENTRE\tHTTP\tRPC")
 		for _, e := range st.Entries {
 			_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", e.ID, e.DataCentre, e.HTTP, e.Address)
 		}
 		_, _ = fmt.Fprintln(w, "\t\t\t")
 	})
-	columns(w, func(w io.Writer) { printAgents(w, st.Agents) })
-	columns(w, func(w io.Writer) {
+	printColumns(w, func(w io.Writer) { printAgents(w, st.Agents) })
+	printColumns(w, func(w io.Writer) {
 		_, _ = fmt.Fprintln(w, "\nQUEUE\tWAITING\tJOBS\tRUNNING\tMEAN MS")
 		for _, q := range st.Queues {
 			_, _ = fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%.1f\n", q.Service, q.Waiting, q.Jobs, q.Running, q.MeanMillis)
@@ -72,12 +72,12 @@
 		Usage: "lists the targets that an entry knows",
 		Flags: []cli.Flag{entryFlag(), outputFlag()},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			st, err := call[entry.StatusReply](ctx, cmd, http.MethodGet, "/v1/status", nil)
+			st, err := callEntry[entry.StatusReply](ctx, cmd, http.MethodGet, "/v1/status", nil)
 			if err != nil {
 				return err
 			}
-			return show(cmd, st.Agents, func(w io.Writer) {
-				columns(w, func(w io.Writer) { printAgents(w, st.Agents) })
+			return printOutput(cmd, st.Agents, func(w io.Writer) {
+				printColumns(w, func(w io.Writer) { printAgents(w, st.Agents) })
 			})
 		},
 	}
--- a/command/table.go
+++ b/command/table.go
@@ -28,7 +28,7 @@
 }
 
 func printRows(w io.Writer, rows []table.Row) {
-	columns(w, func(w io.Writer) {
+	printColumns(w, func(w io.Writer) {
 		_, _ = fmt.Fprintln(w, "KIND\tNAME\tWEIGHT\tLIMIT\tDRAIN\tREVISION\tEDITED\tAUTHOR")
 		for _, r := range rows {
 			_, _ = fmt.Fprintf(w, "%s\t%s\t%g\t%d\t%t\t%d\t%s\t%s\n",
@@ -43,11 +43,11 @@
 		Usage: "lists the rows that are in force at an entry",
 		Flags: []cli.Flag{entryFlag(), outputFlag()},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			rows, err := call[[]table.Row](ctx, cmd, http.MethodGet, "/v1/table", nil)
+			rows, err := callEntry[[]table.Row](ctx, cmd, http.MethodGet, "/v1/table", nil)
 			if err != nil {
 				return err
 			}
-			return show(cmd, rows, func(w io.Writer) { printRows(w, rows) })
+			return printOutput(cmd, rows, func(w io.Writer) { printRows(w, rows) })
 		},
 	}
 }
@@ -71,11 +71,11 @@
 			if err != nil {
 				return err
 			}
-			row, err := call[table.Row](ctx, cmd, http.MethodGet, path, nil)
+			row, err := callEntry[table.Row](ctx, cmd, http.MethodGet, path, nil)
 			if err != nil {
 				return err
 			}
-			return show(cmd, row, func(w io.Writer) { printRows(w, []table.Row{row}) })
+			return printOutput(cmd, row, func(w io.Writer) { printRows(w, []table.Row{row}) })
 		},
 	}
 }
@@ -99,7 +99,7 @@
 			if err != nil {
 				return err
 			}
-			ed, err := flaggedEdit(ctx, cmd, path)
+			ed, err := editFromFlags(ctx, cmd, path)
 			if err != nil {
 				return err
 			}
@@ -116,9 +116,9 @@
 	return &cli.BoolFlag{Name: "wait", Usage: "wait until the change is in force at every known process"}
 }
 
-// flaggedEdit returns the present row as an edit, changed as the flags say.
-func flaggedEdit(ctx context.Context, cmd *cli.Command, path string) (ed entry.RowEdit, err error) {
-	row, err := call[table.Row](ctx, cmd, http.MethodGet, path, nil)
+// editFromFlags returns the present row as an edit, changed as the flags say.
+func editFromFlags(ctx context.Context, cmd *cli.Command, path string) (ed entry.RowEdit, err error) {
+	row, err := callEntry[table.Row](ctx, cmd, http.MethodGet, path, nil)
 	if p, ok := errors.AsType[*problemError](err); ok && p.status == http.StatusNotFound {
 		row, err = table.Row{Weight: 1}, nil
 	}
@@ -144,42 +144,42 @@
 
 // putRow writes an edit, prints the row, and waits if asked to.
 func putRow(ctx context.Context, cmd *cli.Command, path string, ed entry.RowEdit) error {
-	row, err := call[table.Row](ctx, cmd, http.MethodPut, path, ed)
+	row, err := callEntry[table.Row](ctx, cmd, http.MethodPut, path, ed)
 	if p, ok := errors.AsType[*problemError](err); ok && p.Current != nil {
 		printRows(os.Stderr, []table.Row{*p.Current})
 	}
 	if err != nil {
 		return err
 	}
-	if err := show(cmd, row, func(w io.Writer) { printRows(w, []table.Row{row}) }); err != nil {
+	if err := printOutput(cmd, row, func(w io.Writer) { printRows(w, []table.Row{row}) }); err != nil {
 		return err
 	}
 	if !cmd.Bool("wait") {
 		return nil
 	}
-	return awaitForce(ctx, cmd, row.Revision)
+	return awaitInForce(ctx, cmd, row.Revision)
 }
 
 const (
-	forcePoll  = 200 * time.Millisecond
-	forceTries = 50
+	inForceInterval = 200 * time.Millisecond
+	maxInForcePolls = 50
 )
 
-// awaitForce reports on how many processes a revision is in force until it is
+// awaitInForce reports on how many processes a revision is in force until it is
 // everywhere.
-func awaitForce(ctx context.Context, cmd *cli.Command, rev uint64) error {
+func awaitInForce(ctx context.Context, cmd *cli.Command, rev uint64) error {
 	path := fmt.Sprintf("/v1/force?revision=%d", rev)
 	var rep entry.ForceReply
-	for range forceTries {
+	for range maxInForcePolls {
 		var err error
-		if rep, err = call[entry.ForceReply](ctx, cmd, http.MethodGet, path, nil); err != nil {
+		if rep, err = callEntry[entry.ForceReply](ctx, cmd, http.MethodGet, path, nil); err != nil {
 			return err
 		}
 		fmt.Fprintf(os.Stderr, "revision %d is in force at %d of %d processes\n", rev, rep.InForce, rep.Known)
 		if rep.InForce == rep.Known {
 			return nil
 		}
-		time.Sleep(forcePoll)
+		time.Sleep(inForceInterval)
 	}
 	return errors.Errorf("revision %d is not in force at %v", rev, rep.Missing)
 }
@@ -195,11 +195,11 @@
 			if err != nil {
 				return err
 			}
-			rows, err := call[[]table.Row](ctx, cmd, http.MethodGet, path, nil)
+			rows, err := callEntry[[]table.Row](ctx, cmd, http.MethodGet, path, nil)
 			if err != nil {
 				return err
 			}
-			return show(cmd, rows, func(w io.Writer) { printRows(w, rows) })
+			return printOutput(cmd, rows, func(w io.Writer) { printRows(w, rows) })
 		},
 	}
 }
@@ -219,7 +219,7 @@
 				return usagef("want one TARGET, got %d arguments", cmd.Args().Len())
 			}
 			path := "/v1/table/target/" + url.PathEscape(cmd.Args().First())
-			ed, err := flaggedEdit(ctx, cmd, path)
+			ed, err := editFromFlags(ctx, cmd, path)
 			if err != nil {
 				return err
 			}
--- a/command/target.go
+++ b/command/target.go
@@ -28,15 +28,15 @@
 	}
 }
 
-// targetStop is the longest planned stop of the stand-in.
-const targetStop = 2 * time.Minute
+// targetStopTimeout is the longest planned stop of the stand-in.
+const targetStopTimeout = 2 * time.Minute
 
 func runTarget(cmd *cli.Command) error {
-	cfg, err := settings[setting.Target](cmd)
+	cfg, err := readSettings[setting.Target](cmd)
 	if err != nil {
 		return err
 	}
-	web.AllowSlowStop(targetStop)
+	web.AllowSlowStop(targetStopTimeout)
 	log := telemetry.NewLog(os.Stderr, cfg.LogLevel, "target")
 	file, err := openAppend(cfg.Journal)
 	if err != nil {
@@ -45,14 +45,14 @@
 	srv, err := target.Start(target.Config{
 		Address: cfg.HTTP, AgentURL: cfg.Agent, Name: cfg.Name, Service: cfg.Service,
 		Slots: cfg.Slots, Median: cfg.Median.D(), Sigma: cfg.Sigma, Speed: cfg.Speed,
-		Seed: cfg.Seed, Announce: cfg.Announce.D(), Journal: target.NewJournal(file),
+		Seed: cfg.Seed, AnnounceInterval: cfg.AnnounceInterval.D(), Journal: target.NewJournal(file),
 	})
 	if err != nil {
 		return err
 	}
 	log.Info().Str("name", cfg.Name).Str("http", srv.Address()).Msg("target stand-in started")
-	<-signalled()
-	ctx, cancel := context.WithTimeout(context.Background(), targetStop)
+	<-stopSignal()
+	ctx, cancel := context.WithTimeout(context.Background(), targetStopTimeout)
 	defer cancel()
 	return srv.Close(ctx)
 }
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -32,10 +32,10 @@
 
 // Config bounds a run.
 type Config struct {
-	Jobs int
-	For  time.Duration // submissions are spread over this time
-	Seed int
-	Log  io.Writer // nil to discard
+	Jobs           int
+	SubmitDuration time.Duration // submissions are spread over this time
+	Seed           int
+	Log            io.Writer // nil to discard
 }
 
 // Report is the outcome of a run. StartedTwice and NotRunButStarted are counts
@@ -59,13 +59,13 @@
 }
 
 const (
-	demoEntries   = 2
-	demoAgents    = 4
-	callers       = 16
-	longestJob    = 24 // tasks
-	replaceAfter  = 300 * time.Millisecond
-	startTimeout  = 10 * time.Second
-	idempotentOne = 3 // one job in this many is idempotent
+	demoEntries     = 2
+	demoAgents      = 4
+	callers         = 16
+	maxJobTasks     = 24 // tasks
+	replaceAfter    = 300 * time.Millisecond
+	startTimeout    = 10 * time.Second
+	idempotentEvery = 3 // one job in this many is idempotent
 )
 
 // Run runs the demonstration. It returns an error if the installation did not
@@ -108,26 +108,26 @@
 func (r *runner) run(ctx context.Context) {
 	var wg sync.WaitGroup
 	for range callers {
-		wg.Go(func() { r.caller(ctx) })
+		wg.Go(func() { r.runCaller(ctx) })
 	}
-	wg.Go(func() { r.disturb(ctx) })
+	wg.Go(func() { r.injectFailures(ctx) })
 	wg.Wait()
 }
 
-// disturb kills and replaces an agent after a fifth and an entry after
+// injectFailures kills and replaces an agent after a fifth and an entry after
 // three quarters of the jobs.
-func (r *runner) disturb(ctx context.Context) {
-	r.await(ctx, r.cfg.Jobs/5)
+func (r *runner) injectFailures(ctx context.Context) {
+	r.awaitSubmitted(ctx, r.cfg.Jobs/5)
 	r.fleet.KillAgent(0)
 	pause(ctx, replaceAfter)
 	_ = r.fleet.StartAgent(0)
-	r.await(ctx, 3*r.cfg.Jobs/4)
+	r.awaitSubmitted(ctx, 3*r.cfg.Jobs/4)
 	r.fleet.KillEntry(0)
 	pause(ctx, replaceAfter)
 	_ = r.fleet.StartEntry(0)
 }
 
-func (r *runner) await(ctx context.Context, jobs int) {
+func (r *runner) awaitSubmitted(ctx context.Context, jobs int) {
 	for int(r.next.Load()) < jobs && ctx.Err() == nil {
 		pause(ctx, time.Millisecond)
 	}
@@ -142,14 +142,14 @@
 	}
 }
 
-func (r *runner) caller(ctx context.Context) {
+func (r *runner) runCaller(ctx context.Context) {
 	begin := time.Now()
 	for ctx.Err() == nil {
 		n := int(r.next.Add(1)) - 1
 		if n >= r.cfg.Jobs {
 			return
 		}
-		due := begin.Add(r.cfg.For * time.Duration(n) / time.Duration(r.cfg.Jobs))
+		due := begin.Add(r.cfg.SubmitDuration * time.Duration(n) / time.Duration(r.cfg.Jobs))
 		pause(ctx, time.Until(due))
 		r.submit(ctx, n)
 	}
@@ -163,14 +163,14 @@
 		e := (n + try) % demoEntries
 		ans, err := load.Submit(ctx, r.fleet.EntryURL(e), &req)
 		if err == nil {
-			r.add(ans)
+			r.addAnswer(ans)
 			return
 		}
 		req.Resubmission = true
 		r.mu.Lock()
 		r.resubmitted++
 		r.mu.Unlock()
-		pause(ctx, retryPause)
+		pause(ctx, retryInterval)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -178,8 +178,8 @@
 }
 
 const (
-	maxTries   = 8
-	retryPause = 100 * time.Millisecond
+	maxTries      = 8
+	retryInterval = 100 * time.Millisecond
 )
 
 func (r *runner) request(n int) entry.SubmitRequest {
@@ -189,13 +189,13 @@
 		Key:        "demo-" + strconv.Itoa(n),
 		Team:       "laval",
 		Service:    Service,
-		Idempotent: n%idempotentOne == 0,
-		Tasks:      make([]entry.TaskRequest, 1+r.rand.IntN(longestJob)),
+		Idempotent: n%idempotentEvery == 0,
+		Tasks:      make([]entry.TaskRequest, 1+r.rand.IntN(maxJobTasks)),
 	}
 	return req
 }
 
-func (r *runner) add(ans job.Answer) {
+func (r *runner) addAnswer(ans job.Answer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.answers = append(r.answers, ans)
--- a/demo/fleet.go
+++ b/demo/fleet.go
@@ -83,11 +83,11 @@
 }
 
 const (
-	loopback = "127.0.0.1:0"
-	window   = time.Second
-	slots    = 8
-	median   = 30 * time.Millisecond
-	sigma    = 0.6
+	loopback       = "127.0.0.1:0"
+	resubmitWindow = time.Second
+	targetSlots    = 8
+	medianRunTime  = 30 * time.Millisecond
+	runTimeSigma   = 0.6
 )
 
 // freeAddresses returns n different loopback addresses that nobody listens on.
@@ -105,7 +105,7 @@
 
 func (f *Fleet) configure() error {
 	policy := setting.Default[setting.Entry]().Policy
-	policy.Window = setting.Duration(window)
+	policy.Window = setting.Duration(resubmitWindow)
 	policy.Heartbeat = setting.Duration(500 * time.Millisecond)
 	policy.PeerInterval = setting.Duration(200 * time.Millisecond)
 	policy.UnclearLimit = setting.Duration(2 * time.Second)
@@ -171,8 +171,8 @@
 func (f *Fleet) startTarget(i int) error {
 	cfg := target.Config{
 		Address: loopback, AgentURL: "http://" + f.agentCfg[i].HTTP, Name: "target" + strconv.Itoa(i+1),
-		Service: Service, Slots: slots, Median: median, Sigma: sigma, Seed: f.cfg.Seed + i,
-		Announce: 100 * time.Millisecond,
+		Service: Service, Slots: targetSlots, Median: medianRunTime, Sigma: runTimeSigma, Seed: f.cfg.Seed + i,
+		AnnounceInterval: 100 * time.Millisecond,
 	}
 	if f.cfg.Target != nil {
 		f.cfg.Target(&cfg)
--- a/demo/judge.go
+++ b/demo/judge.go
@@ -19,7 +19,7 @@
 	return v.StartedTwice+v.NotRunButStarted+v.Partial+v.DoneButNotRun > 0
 }
 
-type taskName struct {
+type taskID struct {
 	key   string
 	index int
 }
@@ -28,11 +28,11 @@
 // targets.
 func Judge(answers []job.Answer, journals []map[target.Started]int) (v Verdict) {
 	starts := make(map[target.Started]int)
-	ran := make(map[taskName]bool)
+	ran := make(map[taskID]bool)
 	for _, j := range journals {
 		for s, n := range j {
 			starts[s] += n
-			ran[taskName{s.Key, s.Index}] = true
+			ran[taskID{s.Key, s.Index}] = true
 		}
 	}
 	for _, n := range starts {
@@ -42,12 +42,12 @@
 		}
 	}
 	for i := range answers {
-		v.judgeAnswer(&answers[i], ran)
+		v.checkAnswer(&answers[i], ran)
 	}
 	return v
 }
 
-func (v *Verdict) judgeAnswer(a *job.Answer, ran map[taskName]bool) {
+func (v *Verdict) checkAnswer(a *job.Answer, ran map[taskID]bool) {
 	n := a.Counts
 	total := n.Queued + n.Dispatched + n.Done + n.Failed + n.NotRun + n.Unknown
 	whole := a.Status == job.Complete && n.Done == total && len(a.Results) == total
@@ -56,12 +56,12 @@
 		v.Partial++
 	}
 	for i, s := range a.States {
-		if s == job.NotRun && ran[taskName{string(a.Key), i}] {
+		if s == job.NotRun && ran[taskID{string(a.Key), i}] {
 			v.NotRunButStarted++
 		}
 	}
 	for i := range a.Results {
-		if !ran[taskName{string(a.Key), i}] {
+		if !ran[taskID{string(a.Key), i}] {
 			v.DoneButNotRun++
 		}
 	}
--- a/demo/site.go
+++ b/demo/site.go
@@ -22,9 +22,9 @@
 
 // SiteConfig describes a run of RunSite.
 type SiteConfig struct {
-	Jobs int
-	For  time.Duration // over which the jobs are submitted
-	Log  zerolog.Logger
+	Jobs           int
+	SubmitDuration time.Duration // over which the jobs are submitted
+	Log            zerolog.Logger
 }
 
 // SiteReport is what RunSite has seen.
@@ -39,17 +39,17 @@
 	HomesKilled    int `json:"homesKilled"`
 }
 
-// Broken reports whether a promise was broken.
-func (r *SiteReport) Broken() bool { return r.RunTwiceAtOnce+r.RejectedButRan > 0 }
+// HasViolations reports whether a promise was broken.
+func (r *SiteReport) HasViolations() bool { return r.RunTwiceAtOnce+r.RejectedButRan > 0 }
 
 // The size of the site that RunSite plays.
 const (
-	siteEntries = 3
-	siteAgents  = 4
-	siteHeart   = time.Second
-	siteWait    = 5 * time.Second // of callers
-	siteResend  = 1300 * time.Millisecond
-	siteBegin   = 2 * time.Second // until entries and agents have found one another
+	siteEntries          = 3
+	siteAgents           = 4
+	siteHeartbeat        = time.Second
+	siteCallerTimeout    = 5 * time.Second // of callers
+	siteResubmitInterval = 1300 * time.Millisecond
+	siteStartupTime      = 2 * time.Second // until entries and agents have found one another
 )
 
 var siteQueue = work.Queue{Name: "pickup", Service: Service, MaxAttempts: 2, Stretch: 1.6, Target: 60 * time.Millisecond}
@@ -57,17 +57,17 @@
 // siteRun is a site on loopback: stand-ins of the users' platform, and whole
 // entries and agents.
 type siteRun struct {
-	cfg     SiteConfig
-	store   *standin.Store
-	workers []*standin.Worker
-	agents  []*site.Agent
-	ctx     context.Context
-	ports   map[string]string // by name of an address
+	cfg       SiteConfig
+	store     *standin.Store
+	workers   []*standin.Worker
+	agents    []*site.Agent
+	ctx       context.Context
+	addresses map[string]string // by name of an address
 
-	mu      sync.Mutex // guards what follows
-	entries []*site.Entry
-	report  SiteReport
-	refused []string
+	mu       sync.Mutex // guards what follows
+	entries  []*site.Entry
+	report   SiteReport
+	rejected []string
 }
 
 // RunSite runs masticbay on stand-ins of the users' platform, kills the home
@@ -76,14 +76,14 @@
 	defer func() { err = errors.Annotate(err, "running a site") }()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	s := &siteRun{cfg: cfg, store: standin.NewStore(store.NewMemory(clock.System{})), ctx: ctx, ports: make(map[string]string)}
+	s := &siteRun{cfg: cfg, store: standin.NewStore(store.NewMemory(clock.System{})), ctx: ctx, addresses: make(map[string]string)}
 	defer s.close()
 	if err := s.start(); err != nil {
 		return rep, err
 	}
-	time.Sleep(siteBegin)
-	s.load()
-	s.judge()
+	time.Sleep(siteStartupTime)
+	s.submitJobs()
+	s.verify()
 	return s.report, nil
 }
 
@@ -109,7 +109,7 @@
 
 // address returns a loopback address that stays the same for a name.
 func (s *siteRun) address(name string) string {
-	if a, ok := s.ports[name]; ok {
+	if a, ok := s.addresses[name]; ok {
 		return a
 	}
 	ln, err := net.Listen("tcp", loopback)
@@ -117,8 +117,8 @@
 		return loopback
 	}
 	defer func() { _ = ln.Close() }()
-	s.ports[name] = ln.Addr().String()
-	return s.ports[name]
+	s.addresses[name] = ln.Addr().String()
+	return s.addresses[name]
 }
 
 func (s *siteRun) serve(name string, h http.Handler) error {
@@ -135,12 +135,12 @@
 func (s *siteRun) node(name string) *platform.Node {
 	return &platform.Node{
 		Name: name, IP: "127.0.0.1", Service: Service, Internal: s.address(name), Metrics: s.address(name + "/metrics"),
-		Store: s.address("store"), Entries: []string{s.address("entry0"), s.address("entry1")}, Cores: 1, Grace: siteWait,
+		Store: s.address("store"), Entries: []string{s.address("entry0"), s.address("entry1")}, Cores: 1, Grace: siteCallerTimeout,
 	}
 }
 
 func (s *siteRun) startAgent(i int) error {
-	w := standin.NewWorker(standin.WorkerConfig{ID: fmt.Sprint("worker", i), Service: Service, CPU: 8000, Memory: 1024, Work: siteWork})
+	w := standin.NewWorker(standin.WorkerConfig{ID: fmt.Sprint("worker", i), Service: Service, CPU: 8000, Memory: 1024, Work: siteRunTime})
 	s.workers = append(s.workers, w)
 	if err := s.serve(fmt.Sprint("worker", i), w.Handler()); err != nil {
 		return err
@@ -152,7 +152,7 @@
 		return err
 	}
 	s.agents = append(s.agents, a)
-	go w.Announce(s.ctx, http.DefaultClient, n.Control, siteHeart)
+	go w.Announce(s.ctx, http.DefaultClient, n.Control, siteHeartbeat)
 	return nil
 }
 
@@ -169,17 +169,17 @@
 	return nil
 }
 
-// siteWork spreads run times between 50 and 250 ms by the task's name.
-func siteWork(task string, _ int) (time.Duration, bool) {
+// siteRunTime spreads run times between 50 and 250 ms by the task's name.
+func siteRunTime(task string, _ int) (time.Duration, bool) {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(task)) // never fails
 	return 50*time.Millisecond + time.Duration(h.Sum32()%200)*time.Millisecond, false
 }
 
-// load submits the jobs, and kills the home halfway.
-func (s *siteRun) load() {
+// submitJobs submits the jobs, and kills the home halfway.
+func (s *siteRun) submitJobs() {
 	var callers sync.WaitGroup
-	pause := s.cfg.For / time.Duration(s.cfg.Jobs)
+	pause := s.cfg.SubmitDuration / time.Duration(s.cfg.Jobs)
 	for i := range s.cfg.Jobs {
 		if i == s.cfg.Jobs/2 {
 			s.killHome()
@@ -205,13 +205,13 @@
 
 // submit submits a job, and again elsewhere when there was no answer.
 func (s *siteRun) submit(i int) {
-	c := standin.Caller{Client: http.DefaultClient, Waits: siteWait}
+	c := standin.Caller{Client: http.DefaultClient, Waits: siteCallerTimeout}
 	id := fmt.Sprintf("%016x", i)
 	step := work.Step{Count: 1 + i%6, Room: work.Room{CPU: 1000, Memory: 16}, Estimate: 150 * time.Millisecond}
 	for try := range siteEntries {
 		rep, err := c.Submit(s.ctx, s.address(fmt.Sprint("front", (i+try)%siteEntries)), siteQueue.Name, id, step)
 		if err != nil || rep.Status == http.StatusGatewayTimeout {
-			time.Sleep(siteResend)
+			time.Sleep(siteResubmitInterval)
 			continue
 		}
 		s.mu.Lock()
@@ -220,7 +220,7 @@
 			s.report.Completed++
 		} else {
 			s.report.Rejected++
-			s.refused = append(s.refused, id)
+			s.rejected = append(s.rejected, id)
 		}
 		return
 	}
@@ -229,7 +229,7 @@
 	s.report.Unanswered++
 }
 
-func (s *siteRun) judge() {
+func (s *siteRun) verify() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.report.Jobs = s.cfg.Jobs
@@ -237,7 +237,7 @@
 		s.report.Runs += len(w.Journal())
 	}
 	s.report.RunTwiceAtOnce = len(standin.Overlaps(s.workers...))
-	for _, id := range s.refused {
+	for _, id := range s.rejected {
 		if standin.Ran(id, s.workers...) {
 			s.report.RejectedButRan++
 		}
--- a/identity/identity.go
+++ b/identity/identity.go
@@ -1,4 +1,5 @@
-// Package identity makes identifiers of incarnations, submissions and edits.
+// Package identity creates unique identifiers for incarnations of processes,
+// submissions and edits.
 //
 // # Usage
 //
@@ -7,7 +8,8 @@
 
 import "github.com/rs/xid"
 
-// New returns an identifier that no other process and no other call returns.
+// New returns an identifier with the given kind as its prefix. No other call, in
+// this or any other process, returns the same one.
 func New(kind string) string {
 	return kind + "-" + xid.New().String()
 }
--- a/load/run.go
+++ b/load/run.go
@@ -18,7 +18,7 @@
 type Config struct {
 	Entries     []string // URLs
 	Rate        float64  // jobs a second
-	For         time.Duration
+	Duration    time.Duration
 	Tasks       int // in one job
 	Team        string
 	Service     string
@@ -66,40 +66,40 @@
 		return rep, errors.New("load needs entries, a rate above 0 and at least one task in a job")
 	}
 	r := &runner{
-		cfg:  cfg,
-		hist: hdrhistogram.New(1, histogramMax, histogramDigits),
-		room: make(chan struct{}, cfg.MaxUnderWay),
-		rand: rand.New(rand.NewPCG(uint64(cfg.Seed), 3)),
+		cfg:      cfg,
+		hist:     hdrhistogram.New(1, histogramMax, histogramDigits),
+		inFlight: make(chan struct{}, cfg.MaxUnderWay),
+		rand:     rand.New(rand.NewPCG(uint64(cfg.Seed), 3)),
 	}
 	begin := time.Now()
-	r.loop(ctx, begin)
+	r.submitLoop(ctx, begin)
 	r.jobs.Wait()
-	return r.report(time.Since(begin)), nil
+	return r.finalReport(time.Since(begin)), nil
 }
 
 type runner struct {
-	cfg  Config
-	room chan struct{}
-	rand *rand.Rand // belongs to the loop
-	jobs sync.WaitGroup
-
-	mu   sync.Mutex // guards what follows
-	hist *hdrhistogram.Histogram
-	rep  Report
+	cfg      Config
+	inFlight chan struct{}
+	rand     *rand.Rand // belongs to the loop
+	jobs     sync.WaitGroup
+
+	mu     sync.Mutex // guards what follows
+	hist   *hdrhistogram.Histogram
+	report Report
 }
 
-// plan is what happens to one job.
-type plan struct {
+// jobPlan is what happens to one job.
+type jobPlan struct {
 	due                          time.Time
 	entry                        int
 	req                          entry.SubmitRequest
 	resubmit, cancel, idempotent bool
 }
 
-func (r *runner) loop(ctx context.Context, begin time.Time) {
-	total := int(r.cfg.Rate * r.cfg.For.Seconds())
+func (r *runner) submitLoop(ctx context.Context, begin time.Time) {
+	total := int(r.cfg.Rate * r.cfg.Duration.Seconds())
 	for n := range total {
-		p := r.plan(n)
+		p := r.planJob(n)
 		p.due = begin.Add(time.Duration(float64(n) / r.cfg.Rate * float64(time.Second)))
 		if wait := time.Until(p.due); wait > 0 {
 			time.Sleep(wait)
@@ -108,19 +108,19 @@
 			return
 		}
 		select {
-		case r.room <- struct{}{}:
+		case r.inFlight <- struct{}{}:
 			r.jobs.Go(func() {
-				r.one(ctx, p)
-				<-r.room
+				r.runJob(ctx, p)
+				<-r.inFlight
 			})
 		default:
-			r.count(func(rep *Report) { rep.Skipped++ })
+			r.updateReport(func(rep *Report) { rep.Skipped++ })
 		}
 	}
 }
 
-func (r *runner) plan(n int) plan {
-	p := plan{
+func (r *runner) planJob(n int) jobPlan {
+	p := jobPlan{
 		entry:      r.rand.IntN(len(r.cfg.Entries)),
 		idempotent: r.rand.Float64() < r.cfg.Idempotent,
 		resubmit:   r.rand.Float64() < r.cfg.Resubmit,
@@ -140,9 +140,9 @@
 	return p
 }
 
-// one runs one job, counting from the time it was due.
-func (r *runner) one(ctx context.Context, p plan) {
-	r.count(func(rep *Report) { rep.Submitted++ })
+// runJob runs one job, counting from the time it was due.
+func (r *runner) runJob(ctx context.Context, p jobPlan) {
+	r.updateReport(func(rep *Report) { rep.Submitted++ })
 	var again sync.WaitGroup
 	var second job.Answer
 	if p.resubmit {
@@ -154,7 +154,7 @@
 	ans, err := Submit(ctx, r.cfg.Entries[p.entry], &p.req)
 	took := time.Since(p.due)
 	again.Wait()
-	r.count(func(rep *Report) {
+	r.updateReport(func(rep *Report) {
 		if err != nil {
 			rep.countError(err)
 			return
@@ -186,15 +186,15 @@
 	rep.Unknown += ans.Counts.Unknown
 }
 
-// meanwhile is how long after a submission its resubmission or cancellation
+// followUpDelay is how long after a submission its resubmission or cancellation
 // follows.
-const meanwhile = 20 * time.Millisecond
+const followUpDelay = 20 * time.Millisecond
 
-func (r *runner) resubmit(ctx context.Context, p plan) job.Answer {
-	time.Sleep(meanwhile)
+func (r *runner) resubmit(ctx context.Context, p jobPlan) job.Answer {
+	time.Sleep(followUpDelay)
 	req := p.req
 	req.Resubmission = true
-	r.count(func(rep *Report) { rep.Resubmitted++ })
+	r.updateReport(func(rep *Report) { rep.Resubmitted++ })
 	ans, err := Submit(ctx, r.cfg.Entries[(p.entry+1)%len(r.cfg.Entries)], &req)
 	if err != nil {
 		return job.Answer{}
@@ -202,21 +202,21 @@
 	return ans
 }
 
-func (r *runner) cancel(ctx context.Context, p plan) {
-	time.Sleep(meanwhile)
+func (r *runner) cancel(ctx context.Context, p jobPlan) {
+	time.Sleep(followUpDelay)
 	if Cancel(ctx, r.cfg.Entries[p.entry], &p.req) == nil {
-		r.count(func(rep *Report) { rep.Cancelled++ })
+		r.updateReport(func(rep *Report) { rep.Cancelled++ })
 	}
 }
 
-func (r *runner) count(f func(*Report)) {
+func (r *runner) updateReport(f func(*Report)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	f(&r.rep)
+	f(&r.report)
 }
 
-func (r *runner) report(took time.Duration) Report {
-	rep := r.rep
+func (r *runner) finalReport(took time.Duration) Report {
+	rep := r.report
 	rep.Seconds = took.Seconds()
 	rep.JobsPerSec = float64(rep.Complete) / rep.Seconds
 	rep.TasksPerSec = float64(rep.TasksDone) / rep.Seconds
--- a/setting/option.go
+++ b/setting/option.go
@@ -13,11 +13,12 @@
 	"masticbay/job"
 )
 
-// The tags of an option's field: toml is its key, default its default, min and
-// max its range, oneof its values, format a named format, doc its meaning. The
-// tag required marks an option that must be set.
+// Each field of a settings struct is an option that its tags describe: toml is
+// the key, default the default value, min and max the range, oneof the allowed
+// values, format a named format and doc the meaning. The tag required marks an
+// option that must be set.
 
-// applyDefaults fills v, a struct, from the default tags.
+// applyDefaults sets the fields of the struct v from their default tags.
 func applyDefaults(v reflect.Value) {
 	for i := range v.NumField() {
 		f, field := v.Type().Field(i), v.Field(i)
@@ -26,14 +27,14 @@
 			continue
 		}
 		if text, ok := f.Tag.Lookup("default"); ok {
-			set(field, text)
+			setDefault(field, text)
 		}
 	}
 }
 
-// set parses a default. It panics on a declaration that can not be parsed,
-// which the tests of this package rule out.
-func set(field reflect.Value, text string) {
+// setDefault parses a default value into field. It panics if the value can't be
+// parsed, which the tests of this package rule out.
+func setDefault(field reflect.Value, text string) {
 	var err error
 	switch p := field.Addr().Interface().(type) {
 	case *string:
@@ -54,18 +55,18 @@
 	}
 }
 
-// Check checks every option of a role's settings. It returns a
-// *job.ValueError for the first one that is not allowed.
+// Check validates every option of a role's settings. It returns a
+// *job.ValueError for the first value that is not allowed.
 func Check[T Role](cfg *T) error {
-	return check(reflect.ValueOf(cfg).Elem(), "")
+	return checkStruct(reflect.ValueOf(cfg).Elem(), "")
 }
 
-func check(v reflect.Value, prefix string) error {
+func checkStruct(v reflect.Value, prefix string) error {
 	for i := range v.NumField() {
 		f, field := v.Type().Field(i), v.Field(i)
 		key := prefix + f.Tag.Get("toml")
 		if field.Kind() == reflect.Struct {
-			if err := check(field, key+"."); err != nil {
+			if err := checkStruct(field, key+"."); err != nil {
 				return err
 			}
 			continue
@@ -82,20 +83,20 @@
 	if d, ok := field.Interface().(Duration); ok {
 		text = d.D().String()
 	}
-	bad := func(allowed string) error {
+	invalid := func(allowed string) error {
 		return &job.ValueError{Field: key, Value: text, Allowed: allowed}
 	}
 	if _, ok := tag.Lookup("required"); ok && field.IsZero() {
-		return bad("a value; this key is required")
+		return invalid("a value; this key is required")
 	}
 	if allowed, ok := tag.Lookup("oneof"); ok && !slices.Contains(strings.Split(allowed, " "), text) {
-		return bad("one of " + allowed)
+		return invalid("one of " + allowed)
 	}
 	if !inRange(field, tag.Get("min"), tag.Get("max")) {
-		return bad(rangeText(tag))
+		return invalid(rangeText(tag))
 	}
 	if format := tag.Get("format"); format != "" && !validFormat(field, format) {
-		return bad(formats[format])
+		return invalid(formatTexts[format])
 	}
 	return nil
 }
@@ -108,11 +109,11 @@
 }
 
 func inRange(field reflect.Value, low, high string) bool {
-	n := number(field)
-	return (low == "" || n >= parse(field, low)) && (high == "" || n <= parse(field, high))
+	n := numericValue(field)
+	return (low == "" || n >= parseBound(field, low)) && (high == "" || n <= parseBound(field, high))
 }
 
-func number(field reflect.Value) float64 {
+func numericValue(field reflect.Value) float64 {
 	switch {
 	case field.CanInt():
 		return float64(field.Int())
@@ -122,8 +123,8 @@
 	return 0
 }
 
-// parse reads a bound in the unit of the field.
-func parse(field reflect.Value, text string) float64 {
+// parseBound parses the lower or upper bound of a field, in the field's unit.
+func parseBound(field reflect.Value, text string) float64 {
 	if field.Type() == reflect.TypeFor[Duration]() {
 		d, _ := time.ParseDuration(text)
 		return float64(d)
@@ -132,7 +133,7 @@
 	return n
 }
 
-var formats = map[string]string{
+var formatTexts = map[string]string{
 	"address":   "an IP number and a port, as in 127.0.0.1:7401",
 	"addresses": "a list of IP numbers and ports, as in [\"127.0.0.1:7402\"]",
 	"name":      job.AllowedName,
@@ -160,30 +161,30 @@
 	return err == nil && n <= 65535
 }
 
-// Reference writes the documentation of every option of a role.
+// Reference writes a line of documentation for every option of a role.
 func Reference[T Role](w io.Writer) error {
 	cfg := Default[T]()
-	return reference(w, reflect.ValueOf(cfg), "")
+	return writeReference(w, reflect.ValueOf(cfg), "")
 }
 
-func reference(w io.Writer, v reflect.Value, prefix string) error {
+func writeReference(w io.Writer, v reflect.Value, prefix string) error {
 	for i := range v.NumField() {
 		f, field := v.Type().Field(i), v.Field(i)
 		key := prefix + f.Tag.Get("toml")
 		if field.Kind() == reflect.Struct {
-			if err := reference(w, field, key+"."); err != nil {
+			if err := writeReference(w, field, key+"."); err != nil {
 				return err
 			}
 			continue
 		}
-		if _, err := fmt.Fprintf(w, "%-24s %s%s\n", key, f.Tag.Get("doc"), facts(f.Tag)); err != nil {
+		if _, err := fmt.Fprintf(w, "%-24s %s%s\n", key, f.Tag.Get("doc"), optionDetails(f.Tag)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func facts(tag reflect.StructTag) string {
+func optionDetails(tag reflect.StructTag) string {
 	var parts []string
 	if d := tag.Get("default"); d != "" {
 		parts = append(parts, "default "+d)
--- a/setting/setting.go
+++ b/setting/setting.go
@@ -1,12 +1,12 @@
-// Package setting reads and checks the settings of every command.
+// Package setting reads and validates the settings of every command.
 //
 // # Model
 //
 // Settings are TOML with camelCase keys. Each option is declared once, as a
-// field with its key, its default, what is allowed and a line of
-// documentation; reading, checking and the printed reference all follow from
-// that declaration. An unknown key, a value out of range and a missing
-// required value are errors that name the key, the value and what is allowed.
+// struct field whose tags hold its key, its default, the allowed values and a
+// line of documentation; the parser, the checks and the printed reference use
+// that declaration. An unknown key, a value out of range and a missing required
+// value are errors that name the key, the value and what is allowed.
 //
 // # Usage
 //
@@ -25,7 +25,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Duration is a time.Duration that is written as in "250ms".
+// Duration is a time.Duration that is encoded as text, such as "250ms".
 type Duration time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -43,7 +43,7 @@
 // D returns the value as a time.Duration.
 func (d Duration) D() time.Duration { return time.Duration(d) }
 
-// Role is one of the structs of settings.
+// Role is the settings struct of one kind of process.
 type Role interface {
 	Entry | Agent | Site | Platform | Target
 }
@@ -54,7 +54,7 @@
 	return cfg
 }
 
-// Read reads and checks a file of settings.
+// Read reads and validates a settings file.
 func Read[T Role](path string) (cfg T, err error) {
 	defer func() { err = errors.Annotatef(err, "reading settings %s", path) }()
 	raw, err := os.ReadFile(path)
@@ -64,29 +64,30 @@
 	return Parse[T](raw)
 }
 
-// Parse reads and checks settings.
+// Parse decodes and validates the contents of a settings file.
 func Parse[T Role](raw []byte) (cfg T, err error) {
 	cfg = Default[T]()
 	dec := toml.NewDecoder(bytes.NewReader(raw))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&cfg); err != nil {
-		return cfg, explain(err)
+		return cfg, describeDecodeError(err)
 	}
 	if err := Check(&cfg); err != nil {
 		return cfg, err
 	}
-	if c, ok := any(&cfg).(consistent); ok {
-		return cfg, c.consistent()
+	if c, ok := any(&cfg).(consistencyChecker); ok {
+		return cfg, c.checkConsistency()
 	}
 	return cfg, nil
 }
 
-// consistent is implemented by settings whose options depend on one another.
-type consistent interface {
-	consistent() error
+// consistencyChecker is implemented by settings whose options depend on one
+// another.
+type consistencyChecker interface {
+	checkConsistency() error
 }
 
-// KeyError reports a key that can not be read.
+// KeyError reports a key that is unknown or whose value can't be decoded.
 type KeyError struct {
 	Key     string
 	Problem string
@@ -97,8 +98,9 @@
 	return "key " + e.Key + ": " + e.Problem
 }
 
-// explain turns the decoder's errors into ones that name key and place.
-func explain(err error) error {
+// describeDecodeError converts an error of the TOML decoder into one that names
+// the key and its position.
+func describeDecodeError(err error) error {
 	if strict, ok := errors.AsType[*toml.StrictMissingError](err); ok {
 		var keys []string
 		for _, e := range strict.Errors {
@@ -113,13 +115,13 @@
 	return err
 }
 
-// Kind returns the role that a file of settings is for, by its "role" key.
-func Kind(raw []byte) (string, error) {
+// FileRole returns the role that a settings file is for, from its "role" key.
+func FileRole(raw []byte) (string, error) {
 	var head struct {
 		Role string `toml:"role"`
 	}
 	if err := toml.Unmarshal(raw, &head); err != nil {
-		return "", explain(err)
+		return "", describeDecodeError(err)
 	}
 	return head.Role, nil
 }
--- a/setting/setting_test.go
+++ b/setting/setting_test.go
@@ -53,11 +53,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		kind, err := setting.Kind(raw)
+		role, err := setting.FileRole(raw)
 		if err != nil {
 			t.Fatal(err)
 		}
-		switch kind {
+		switch role {
 		case "entry":
 			_, err = setting.Read[setting.Entry](f)
 		case "agent":
--- a/target/server.go
+++ b/target/server.go
@@ -22,17 +22,17 @@
 
 // Config describes a stand-in.
 type Config struct {
-	Address  string // where it listens
-	AgentURL string // of the agent beside it; empty to announce to nobody
-	Name     string
-	Service  string
-	Slots    int
-	Median   time.Duration // of the run times
-	Sigma    float64       // of the run times' log-normal distribution
-	Speed    float64       // 1 if zero
-	Seed     int
-	Announce time.Duration // pause between announcements
-	Journal  *Journal
+	Address          string // where it listens
+	AgentURL         string // of the agent beside it; empty to announce to nobody
+	Name             string
+	Service          string
+	Slots            int
+	Median           time.Duration // of the run times
+	Sigma            float64       // of the run times' log-normal distribution
+	Speed            float64       // 1 if zero
+	Seed             int
+	AnnounceInterval time.Duration // pause between announcements
+	Journal          *Journal
 }
 
 // Faults are the switches of a stand-in.
@@ -44,13 +44,13 @@
 
 // Server is a stand-in of a target.
 type Server struct {
-	cfg       Config
-	life      string
-	http      *http.Server
-	cancel    context.CancelFunc
-	done      sync.WaitGroup
-	running   atomic.Int64
-	announced atomic.Uint64 // number of the last announcement
+	cfg         Config
+	incarnation string
+	http        *http.Server
+	cancel      context.CancelFunc
+	loops       sync.WaitGroup
+	running     atomic.Int64
+	announceSeq atomic.Uint64 // number of the last announcement
 
 	mu     sync.Mutex // guards what follows
 	rand   *rand.Rand
@@ -69,20 +69,20 @@
 		cfg.Journal = &Journal{}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	s = &Server{cfg: cfg, life: identity.New("target"), cancel: cancel, rand: rand.New(rand.NewPCG(uint64(cfg.Seed), 1))}
+	s = &Server{cfg: cfg, incarnation: identity.New("target"), cancel: cancel, rand: rand.New(rand.NewPCG(uint64(cfg.Seed), 1))}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+RunPath, s.run)
 	mux.HandleFunc("PUT /faults", s.putFaults)
 	mux.HandleFunc("GET /journal", s.getJournal)
-	s.http = &http.Server{Handler: mux, ReadHeaderTimeout: readTimeout}
+	s.http = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
 	go func() { _ = s.http.Serve(ln) }()
 	if cfg.AgentURL != "" {
-		s.done.Go(func() { s.announceDuty(ctx) })
+		s.loops.Go(func() { s.announceLoop(ctx) })
 	}
 	return s, nil
 }
 
-const readTimeout = 10 * time.Second
+const headerTimeout = 10 * time.Second
 
 // Address returns where the target listens.
 func (s *Server) Address() string { return s.cfg.Address }
@@ -100,9 +100,9 @@
 // Close announces the end, waits for running tasks and stops.
 func (s *Server) Close(ctx context.Context) error {
 	s.cancel()
-	s.done.Wait()
+	s.loops.Wait()
 	if s.cfg.AgentURL != "" {
-		_ = s.announce(ctx, true)
+		_ = s.sendAnnouncement(ctx, true)
 	}
 	return s.http.Shutdown(ctx)
 }
@@ -113,11 +113,11 @@
 	_ = s.http.Close()
 }
 
-func (s *Server) announceDuty(ctx context.Context) {
-	tick := time.NewTicker(s.cfg.Announce)
+func (s *Server) announceLoop(ctx context.Context) {
+	tick := time.NewTicker(s.cfg.AnnounceInterval)
 	defer tick.Stop()
 	for {
-		_ = s.announce(ctx, false)
+		_ = s.sendAnnouncement(ctx, false)
 		select {
 		case <-ctx.Done():
 			return
@@ -126,11 +126,11 @@
 	}
 }
 
-func (s *Server) announce(ctx context.Context, leaving bool) (err error) {
+func (s *Server) sendAnnouncement(ctx context.Context, leaving bool) (err error) {
 	defer func() { err = errors.Annotate(err, "announcing the target") }()
 	body, err := json.Marshal(Announcement{
 		Name: s.cfg.Name, Service: s.cfg.Service, Address: s.cfg.Address,
-		Slots: s.cfg.Slots, Leaving: leaving, Life: s.life, Seq: s.announced.Add(1),
+		Slots: s.cfg.Slots, Leaving: leaving, Life: s.incarnation, Seq: s.announceSeq.Add(1),
 	})
 	if err != nil {
 		return err
@@ -161,7 +161,7 @@
 	s.cfg.Journal.Record(Started{Key: r.Header.Get(KeyHeader), Rerun: r.Header.Get(RerunHeader), Index: index})
 	s.running.Add(1)
 	defer s.running.Add(-1)
-	took, faults := s.plan(payload)
+	took, faults := s.drawRunTime(payload)
 	if faults.FailAll {
 		http.Error(w, "this target fails every task", http.StatusInternalServerError)
 		return
@@ -182,17 +182,17 @@
 	TookMillis int64  `json:"tookMillis"`
 }
 
-// runPlan is the part of a payload that the stand-in understands.
-type runPlan struct {
+// payloadOptions is the part of a payload that the stand-in understands.
+type payloadOptions struct {
 	RunMillis *float64 `json:"runMillis"` // the run time at speed 1
 }
 
-// plan draws the run time of a task, unless its payload names one.
-func (s *Server) plan(payload []byte) (time.Duration, Faults) {
+// drawRunTime draws the run time of a task, unless its payload names one.
+func (s *Server) drawRunTime(payload []byte) (time.Duration, Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	took := float64(s.cfg.Median) * math.Exp(s.cfg.Sigma*s.rand.NormFloat64())
-	var p runPlan
+	var p payloadOptions
 	if json.Unmarshal(payload, &p) == nil && p.RunMillis != nil {
 		took = *p.RunMillis * float64(time.Millisecond)
 	}
--- a/telemetry/log.go
+++ b/telemetry/log.go
@@ -2,10 +2,10 @@
 //
 // # Model
 //
-// Counters come first: what happens often is counted and served at /metrics in
-// the Prometheus format. Lines are logged, as JSON, only for changes of state.
-// A trace has a span for each hop: caller to entry, entry to peer entry, entry
-// to agent, agent to target.
+// Frequent events are counted, and the counters are served at /metrics in the
+// Prometheus format. Only changes of state are logged, as JSON lines. A trace
+// has a span for each hop: caller to entry, entry to peer entry, entry to agent,
+// agent to target.
 //
 // # Usage
 //
@@ -25,8 +25,8 @@
 	"github.com/zeromicro/go-zero/core/stat"
 )
 
-// NewLog returns a logger of a process that writes to w, and routes the lines
-// of the HTTP library to it. An unknown level means info.
+// NewLog returns the logger of a process, which writes to w, and routes the log
+// lines of the HTTP library to it. An unknown level is treated as info.
 func NewLog(w io.Writer, level, role string) zerolog.Logger {
 	lvl, err := zerolog.ParseLevel(level)
 	if err != nil {
@@ -34,14 +34,15 @@
 	}
 	zerolog.TimeFieldFormat = time.RFC3339Nano
 	log := zerolog.New(w).Level(lvl).With().Timestamp().Str("role", role).Logger()
-	routeLibrary(log)
+	routeLibraryLog(log)
 	return log
 }
 
-// routeLibrary sends the log lines of go-zero to log and turns its periodic
-// statistics off. Requests are counted, so its line for each is dropped.
-func routeLibrary(log zerolog.Logger) {
-	// The library sets its log up once; a later server must not do so again.
+// routeLibraryLog routes the log lines of go-zero to log and disables its
+// periodic statistics and its line for each request: requests are counted.
+func routeLibraryLog(log zerolog.Logger) {
+	// go-zero sets up its log only once, so a server started later can't replace
+	// this configuration.
 	_ = logx.SetUp(logx.LogConf{Mode: "console", Level: "error", Stat: false})
 	logx.DisableStat()
 	stat.DisableLog()
--- a/telemetry/metrics.go
+++ b/telemetry/metrics.go
@@ -10,7 +10,7 @@
 	"github.com/uber-go/tally/v4/prometheus"
 )
 
-// Metrics are the counters of one process.
+// Metrics holds the counters of one process.
 type Metrics struct {
 	scope   tally.Scope
 	closer  io.Closer
@@ -19,40 +19,40 @@
 
 const reportInterval = time.Second
 
-// NewMetrics returns the counters of a process with a role.
+// NewMetrics returns the counters of a process that runs in the given role.
 func NewMetrics(role string) *Metrics {
 	reg := prom.NewRegistry()
-	rep := prometheus.NewReporter(prometheus.Options{Registerer: reg, Gatherer: reg})
+	reporter := prometheus.NewReporter(prometheus.Options{Registerer: reg, Gatherer: reg})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
 		Prefix:          "masticbay_" + role,
-		CachedReporter:  rep,
+		CachedReporter:  reporter,
 		Separator:       prometheus.DefaultSeparator,
 		SanitizeOptions: &prometheus.DefaultSanitizerOpts,
 	}, reportInterval)
-	return &Metrics{scope: scope, closer: closer, handler: rep.HTTPHandler()}
+	return &Metrics{scope: scope, closer: closer, handler: reporter.HTTPHandler()}
 }
 
-// Scope returns where counters are made.
+// Scope returns the scope in which counters are created.
 func (m *Metrics) Scope() tally.Scope { return m.scope }
 
-// Handler serves the counters in the Prometheus format.
+// Handler returns a handler that serves the counters in the Prometheus format.
 func (m *Metrics) Handler() http.HandlerFunc { return m.handler.ServeHTTP }
 
-// Close stops reporting.
+// Close stops the reporter.
 func (m *Metrics) Close() { _ = m.closer.Close() }
 
-// Delta feeds a counter from totals that only grow.
+// Delta is a counter that is set from a total that never decreases.
 type Delta struct {
 	counter tally.Counter
 	last    uint64
 }
 
-// NewDelta returns a Delta of the counter name.
+// NewDelta returns a TotalCounter for the counter with the given name.
 func (m *Metrics) NewDelta(name string) *Delta {
 	return &Delta{counter: m.scope.Counter(name)}
 }
 
-// Set brings the counter to total.
+// Set raises the counter to total. It ignores a total below the last one.
 func (d *Delta) Set(total uint64) {
 	if total > d.last {
 		d.counter.Inc(int64(total - d.last))
--- a/telemetry/trace.go
+++ b/telemetry/trace.go
@@ -19,16 +19,16 @@
 
 const tracerName = "masticbay"
 
-// StartTraces exports the spans of this process to a file, or to the OTLP
-// collector at an http:// or https:// URL, or nowhere if to is empty. The
-// returned function flushes and ends the export.
-func StartTraces(role, to string, ratio float64) (stop func(context.Context) error, err error) {
-	defer func() { err = errors.Annotatef(err, "starting traces to %q", to) }()
+// StartTraces starts to export the spans of this process to a file, or to the
+// OTLP collector at an http:// or https:// URL; an empty destination disables
+// the export. The returned function flushes the spans and ends the export.
+func StartTraces(role, destination string, ratio float64) (stop func(context.Context) error, err error) {
+	defer func() { err = errors.Annotatef(err, "starting to export traces to %q", destination) }()
 	otel.SetTextMapPropagator(propagation.TraceContext{})
-	if to == "" {
+	if destination == "" {
 		return func(context.Context) error { return nil }, nil
 	}
-	exp, file, err := exporter(to)
+	exp, file, err := newExporter(destination)
 	if err != nil {
 		return nil, err
 	}
@@ -47,12 +47,12 @@
 	}, nil
 }
 
-func exporter(to string) (sdktrace.SpanExporter, io.Closer, error) {
-	if strings.HasPrefix(to, "http://") || strings.HasPrefix(to, "https://") {
-		exp, err := otlptracehttp.New(context.Background(), otlptracehttp.WithEndpointURL(to))
+func newExporter(destination string) (sdktrace.SpanExporter, io.Closer, error) {
+	if strings.HasPrefix(destination, "http://") || strings.HasPrefix(destination, "https://") {
+		exp, err := otlptracehttp.New(context.Background(), otlptracehttp.WithEndpointURL(destination))
 		return exp, nil, err
 	}
-	f, err := os.OpenFile(to, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
+	f, err := os.OpenFile(destination, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -60,12 +60,13 @@
 	return exp, f, err
 }
 
-// Span starts a span named after a hop.
+// Span starts a span that is named after a hop, and returns it with a context
+// that holds it.
 func Span(ctx context.Context, hop string) (context.Context, trace.Span) {
 	return otel.Tracer(tracerName).Start(ctx, hop)
 }
 
-// Inject returns the W3C traceparent of the span in ctx, or "".
+// Inject returns the W3C traceparent of the span in ctx, or "" if there is none.
 func Inject(ctx context.Context) string {
 	if !trace.SpanContextFromContext(ctx).IsValid() {
 		return ""
@@ -75,7 +76,7 @@
 	return carrier["traceparent"]
 }
 
-// Extract returns ctx with the remote span of a W3C traceparent.
+// Extract returns ctx with the remote span that a W3C traceparent names.
 func Extract(ctx context.Context, traceparent string) context.Context {
 	if traceparent == "" {
 		return ctx
