--- a/load/run.go
+++ b/load/run.go
@@ -14,21 +14,21 @@
 	"masticbay/job"
 )
 
-// Config describes a run.
+// Config configures a run.
 type Config struct {
-	Entries     []string // URLs
+	Entries     []string // URLs of the entries
 	Rate        float64  // jobs a second
 	Duration    time.Duration
 	Tasks       int // in one job
 	Team        string
 	Service     string
-	Prefix      string  // of the keys; must be new in each run
-	Idempotent  float64 // share of the jobs
-	Resubmit    float64 // share that is submitted again, to another entry, while it runs
-	Cancel      float64 // share that is cancelled while it runs
+	Prefix      string  // of the job keys; must differ between runs
+	Idempotent  float64 // share of jobs that are idempotent
+	Resubmit    float64 // share of jobs that are submitted again, to another entry, while they run
+	Cancel      float64 // share of jobs that are cancelled while they run
 	Deadline    time.Duration
-	RunMillis   float64 // run time of a task; below 0 to let the target draw it
-	MaxUnderWay int     // jobs; submissions beyond it are counted as skipped
+	RunMillis   float64 // run time of a task; negative for a random time chosen by the target
+	MaxUnderWay int     // limit of jobs in flight; submissions beyond it are counted as skipped
 	Seed        int
 }
 
@@ -39,9 +39,9 @@
 	Complete    int     `json:"complete"`
 	Failed      int     `json:"failed"`
 	Refused     int     `json:"refused"`
-	Lost        int     `json:"lost"` // no answer
+	Lost        int     `json:"lost"` // jobs without an answer
 	Resubmitted int     `json:"resubmitted"`
-	Differing   int     `json:"differing"` // resubmissions with another answer
+	Differing   int     `json:"differing"` // resubmissions whose answer has another status
 	Cancelled   int     `json:"cancelled"`
 	TasksDone   int     `json:"tasksDone"`
 	NotRun      int     `json:"notRun"`
@@ -71,16 +71,16 @@
 		inFlight: make(chan struct{}, cfg.MaxUnderWay),
 		rand:     rand.New(rand.NewPCG(uint64(cfg.Seed), 3)),
 	}
-	begin := time.Now()
-	r.submitLoop(ctx, begin)
+	start := time.Now()
+	r.submitLoop(ctx, start)
 	r.jobs.Wait()
-	return r.finalReport(time.Since(begin)), nil
+	return r.finalReport(time.Since(start)), nil
 }
 
 type runner struct {
 	cfg      Config
 	inFlight chan struct{}
-	rand     *rand.Rand // belongs to the loop
+	rand     *rand.Rand // used by submitLoop only
 	jobs     sync.WaitGroup
 
 	mu     sync.Mutex // guards what follows
@@ -88,7 +88,7 @@
 	report Report
 }
 
-// jobPlan is what happens to one job.
+// jobPlan holds the request of one job and what is done with it.
 type jobPlan struct {
 	due                          time.Time
 	entry                        int
@@ -96,11 +96,11 @@
 	resubmit, cancel, idempotent bool
 }
 
-func (r *runner) submitLoop(ctx context.Context, begin time.Time) {
+func (r *runner) submitLoop(ctx context.Context, start time.Time) {
 	total := int(r.cfg.Rate * r.cfg.Duration.Seconds())
 	for n := range total {
 		p := r.planJob(n)
-		p.due = begin.Add(time.Duration(float64(n) / r.cfg.Rate * float64(time.Second)))
+		p.due = start.Add(time.Duration(float64(n) / r.cfg.Rate * float64(time.Second)))
 		if wait := time.Until(p.due); wait > 0 {
 			time.Sleep(wait)
 		}
@@ -140,28 +140,29 @@
 	return p
 }
 
-// runJob runs one job, counting from the time it was due.
+// runJob submits one job and waits for its answer. The response time counts from
+// the time when the job was due.
 func (r *runner) runJob(ctx context.Context, p jobPlan) {
 	r.updateReport(func(rep *Report) { rep.Submitted++ })
-	var again sync.WaitGroup
-	var second job.Answer
+	var followUps sync.WaitGroup
+	var resubmitted job.Answer
 	if p.resubmit {
-		again.Go(func() { second = r.resubmit(ctx, p) })
+		followUps.Go(func() { resubmitted = r.resubmit(ctx, p) })
 	}
 	if p.cancel {
-		again.Go(func() { r.cancel(ctx, p) })
+		followUps.Go(func() { r.cancel(ctx, p) })
 	}
 	ans, err := Submit(ctx, r.cfg.Entries[p.entry], &p.req)
-	took := time.Since(p.due)
-	again.Wait()
+	responseTime := time.Since(p.due)
+	followUps.Wait()
 	r.updateReport(func(rep *Report) {
 		if err != nil {
 			rep.countError(err)
 			return
 		}
 		rep.countAnswer(&ans)
-		_ = r.hist.RecordValue(took.Microseconds())
-		if second.Status != "" && second.Status != ans.Status {
+		_ = r.hist.RecordValue(responseTime.Microseconds())
+		if resubmitted.Status != "" && resubmitted.Status != ans.Status {
 			rep.Differing++
 		}
 	})
@@ -186,8 +187,8 @@
 	rep.Unknown += ans.Counts.Unknown
 }
 
-// followUpDelay is how long after a submission its resubmission or cancellation
-// follows.
+// followUpDelay is the time between the submission of a job and its resubmission
+// or cancellation.
 const followUpDelay = 20 * time.Millisecond
 
 func (r *runner) resubmit(ctx context.Context, p jobPlan) job.Answer {
@@ -215,9 +216,9 @@
 	f(&r.report)
 }
 
-func (r *runner) finalReport(took time.Duration) Report {
+func (r *runner) finalReport(elapsed time.Duration) Report {
 	rep := r.report
-	rep.Seconds = took.Seconds()
+	rep.Seconds = elapsed.Seconds()
 	rep.JobsPerSec = float64(rep.Complete) / rep.Seconds
 	rep.TasksPerSec = float64(rep.TasksDone) / rep.Seconds
 	rep.Mean = r.hist.Mean() / 1000
--- a/load/submit.go
+++ b/load/submit.go
@@ -1,15 +1,16 @@
-// Package load submits jobs to entries as callers do: single ones, or an open
+// Package load submits jobs to entries as callers do: single jobs, or an open
 // loop at a given rate.
 //
 // # Model
 //
-// An open loop submits at the times that the rate sets, whether or not earlier
-// answers have come, so that a slow system is seen as slow. Response times go
-// into HDR histograms. A run is bounded in time and in jobs under way.
+// An open loop submits jobs at a fixed rate, whether or not earlier jobs have been
+// answered, so that the response times of a slow system are measured in full.
+// They are recorded in an HDR histogram. A run is limited in time and in jobs in
+// flight.
 //
 // # Usage
 //
-//	rep, err := load.Run(ctx, load.Config{Entries: urls, Rate: 100, For: 10 * time.Second})
+//	rep, err := load.Run(ctx, load.Config{Entries: urls, Rate: 100, Duration: 10 * time.Second})
 package load
 
 import (
@@ -26,20 +27,21 @@
 	"masticbay/job"
 )
 
-// client has room for many jobs under way. It is not httpc's, whose breaker
-// would keep load away from a failing entry.
+// client keeps enough idle connections for many jobs in flight. The client of
+// httpc is not used, since its circuit breaker would withhold load from a failing
+// entry.
 var client = &http.Client{Transport: &http.Transport{
 	MaxIdleConnsPerHost: 4096,
 	IdleConnTimeout:     time.Minute,
 }}
 
-// RefusedError is the reply of an entry that did not accept a job.
+// RefusedError is the error reply of an entry to a submission.
 type RefusedError struct {
 	Status int
 	entry.Problem
 }
 
-// Error returns the code and the message.
+// Error returns the code and the message of the reply.
 func (e *RefusedError) Error() string { return e.Code + ": " + e.Message }
 
 // Submit submits one job and waits for its answer. The error is a
@@ -72,7 +74,7 @@
 	return ans, json.Unmarshal(raw, &ans)
 }
 
-// Cancel cancels a job.
+// Cancel asks an entry to cancel a job.
 func Cancel(ctx context.Context, url string, req *entry.SubmitRequest) (err error) {
 	defer func() { err = errors.Annotatef(err, "cancelling job %s at %s", req.Key, url) }()
 	hr, err := http.NewRequestWithContext(ctx, http.MethodDelete, url+"/v1/jobs/"+req.Team+"/"+req.Key, nil)
@@ -91,7 +93,7 @@
 	return err
 }
 
-// Status asks an entry what it knows.
+// Status returns the status of an entry.
 func Status(ctx context.Context, url string) (st entry.StatusReply, err error) {
 	defer func() { err = errors.Annotatef(err, "asking %s for its status", url) }()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url+"/v1/status", nil)
--- a/target/journal.go
+++ b/target/journal.go
@@ -6,15 +6,15 @@
 	"sync"
 )
 
-// Started is one line of the journal: a task that the target began to run.
+// Started is one line of the journal: it names a task that the target started.
 type Started struct {
 	Key   string `json:"key"`
 	Rerun string `json:"rerun,omitempty"`
 	Index int    `json:"index"`
 }
 
-// Journal records every start. The zero Journal keeps them in memory only. It
-// is safe for concurrent use.
+// Journal records every start of a task. The zero value keeps the records in
+// memory only. It is safe for concurrent use.
 type Journal struct {
 	mu     sync.Mutex // guards what follows
 	starts map[Started]int
@@ -22,12 +22,13 @@
 	file   io.Writer
 }
 
-// NewJournal returns a Journal that also appends each start to w.
+// NewJournal returns a Journal that also appends each start to w, as a line of
+// JSON. If w is nil, the records stay in memory.
 func NewJournal(w io.Writer) *Journal {
 	return &Journal{file: w}
 }
 
-// Record adds a start; it is written before the task runs.
+// Record adds a start. It must be called before the task runs.
 func (j *Journal) Record(s Started) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -49,7 +50,7 @@
 	return j.total
 }
 
-// Counts returns how often each task was started here.
+// Counts returns the number of starts of each task.
 func (j *Journal) Counts() map[Started]int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -60,7 +61,7 @@
 	return counts
 }
 
-// ReadJournal reads what a Journal wrote.
+// ReadJournal counts the starts in the lines that a Journal wrote.
 func ReadJournal(r io.Reader) (counts map[Started]int, err error) {
 	counts = make(map[Started]int)
 	dec := json.NewDecoder(r)
--- a/target/protocol.go
+++ b/target/protocol.go
@@ -1,16 +1,17 @@
-// Package target holds the protocol between an agent and the target beside it,
-// and a stand-in of a target.
+// Package target defines the protocol between an agent and the target beside it,
+// and implements a stand-in for a target.
 //
 // # Model
 //
-// A target announces itself to the agent on its VM every second: its name, its
-// service, its address and its slots. Announcements are numbered, since one that
-// is late must not bring back a target that has said that it leaves. The agent starts a task by a POST of the
-// payload to the target's address. The status 200 carries the result, as JSON;
-// any other status means that the task ran and failed.
+// A target announces itself to the agent on its VM every second, with its name,
+// its service, its address and its slots. Announcements are numbered, since a late
+// one must not bring back a target that has announced that it leaves. The agent
+// starts a task by a POST of the payload to the target's address. A reply with
+// status 200 carries the result, as JSON; any other status means that the task ran
+// and failed.
 //
-// The stand-in runs tasks for log-normal times and keeps a journal of what it
-// started: tests take their verdicts from it.
+// The run times of the stand-in are log-normal. It keeps a journal of the tasks
+// that it started, which tests compare with the answers to callers.
 //
 // # Usage
 //
@@ -22,10 +23,10 @@
 	"masticbay/job"
 )
 
-// AnnouncePath is where a target announces itself to its agent.
+// AnnouncePath is the path at the agent to which a target sends announcements.
 const AnnouncePath = "/v1/target"
 
-// RunPath is where an agent starts tasks.
+// RunPath is the path at the target to which an agent sends tasks.
 const RunPath = "/v1/run"
 
 // The headers that name the task of a run request.
@@ -35,7 +36,7 @@
 	IndexHeader = "X-Masticbay-Index"
 )
 
-// Announcement is what a target tells its agent.
+// Announcement is the message by which a target registers with its agent.
 type Announcement struct {
 	Name    string `json:"name"`
 	Service string `json:"service"`
@@ -43,21 +44,22 @@
 	Slots   int    `json:"slots"`
 	Leaving bool   `json:"leaving"`
 
-	// Life tells the lives of a target apart, and Seq rises with each
-	// announcement of one, so that those that were overtaken are known. A target
-	// that leaves Life empty has its announcements taken in the order of arrival.
+	// Life identifies the incarnation of the target, and Seq rises with each of its
+	// announcements, so that the agent detects reordered ones. If Life is empty,
+	// announcements count in the order of arrival.
 	Life string `json:"life,omitempty"`
 	Seq  uint64 `json:"seq,omitempty"`
 }
 
-// Overtakes reports whether a was sent after b, as far as they tell.
+// Overtakes reports whether a was sent after b. It is also true if their order
+// is unknown, because Life is empty or differs.
 func (a *Announcement) Overtakes(b *Announcement) bool {
 	return a.Life == "" || a.Life != b.Life || a.Seq > b.Seq
 }
 
 const maxSlots = 10_000
 
-// Check reports the first value that is not allowed, as a *job.ValueError.
+// Check returns a *job.ValueError for the first value that is not allowed.
 func (a *Announcement) Check() error {
 	switch {
 	case !job.ValidName(a.Name):
--- a/target/server.go
+++ b/target/server.go
@@ -20,29 +20,29 @@
 	"masticbay/identity"
 )
 
-// Config describes a stand-in.
+// Config configures a stand-in.
 type Config struct {
-	Address          string // where it listens
-	AgentURL         string // of the agent beside it; empty to announce to nobody
+	Address          string // listen address
+	AgentURL         string // of the agent beside it; empty to send no announcements
 	Name             string
 	Service          string
 	Slots            int
 	Median           time.Duration // of the run times
 	Sigma            float64       // of the run times' log-normal distribution
-	Speed            float64       // 1 if zero
+	Speed            float64       // divides run times; 0 means 1
 	Seed             int
-	AnnounceInterval time.Duration // pause between announcements
+	AnnounceInterval time.Duration
 	Journal          *Journal
 }
 
-// Faults are the switches of a stand-in.
+// Faults selects the faults that a stand-in injects.
 type Faults struct {
-	Slow    float64 `json:"slow"`    // factor on run times; 0 for none
-	FailAll bool    `json:"failAll"` // fail every task at once
+	Slow    float64 `json:"slow"`    // multiplies run times; 0 means 1
+	FailAll bool    `json:"failAll"` // fail every task immediately
 	Hang    bool    `json:"hang"`    // accept tasks and never answer
 }
 
-// Server is a stand-in of a target.
+// Server is a stand-in for a target.
 type Server struct {
 	cfg         Config
 	incarnation string
@@ -50,14 +50,15 @@
 	cancel      context.CancelFunc
 	loops       sync.WaitGroup
 	running     atomic.Int64
-	announceSeq atomic.Uint64 // number of the last announcement
+	announceSeq atomic.Uint64 // Seq of the last announcement
 
 	mu     sync.Mutex // guards what follows
 	rand   *rand.Rand
 	faults Faults
 }
 
-// Start listens and announces the target until Close or Kill.
+// Start starts a stand-in, which serves tasks and sends announcements until Close
+// or Kill.
 func Start(cfg Config) (s *Server, err error) {
 	defer func() { err = errors.Annotatef(err, "starting target %s", cfg.Name) }()
 	ln, err := net.Listen("tcp", cfg.Address)
@@ -84,20 +85,20 @@
 
 const headerTimeout = 10 * time.Second
 
-// Address returns where the target listens.
+// Address returns the address at which the target listens.
 func (s *Server) Address() string { return s.cfg.Address }
 
 // Journal returns the record of starts.
 func (s *Server) Journal() *Journal { return s.cfg.Journal }
 
-// SetFaults replaces the switches.
+// SetFaults replaces the injected faults.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Close announces the end, waits for running tasks and stops.
+// Close announces that the target leaves, waits for running tasks and stops.
 func (s *Server) Close(ctx context.Context) error {
 	s.cancel()
 	s.loops.Wait()
@@ -107,7 +108,7 @@
 	return s.http.Shutdown(ctx)
 }
 
-// Kill stops at once.
+// Kill stops immediately, without an announcement.
 func (s *Server) Kill() {
 	s.cancel()
 	_ = s.http.Close()
@@ -127,7 +128,7 @@
 }
 
 func (s *Server) sendAnnouncement(ctx context.Context, leaving bool) (err error) {
-	defer func() { err = errors.Annotate(err, "announcing the target") }()
+	defer func() { err = errors.Annotate(err, "sending an announcement") }()
 	body, err := json.Marshal(Announcement{
 		Name: s.cfg.Name, Service: s.cfg.Service, Address: s.cfg.Address,
 		Slots: s.cfg.Slots, Leaving: leaving, Life: s.incarnation, Seq: s.announceSeq.Add(1),
@@ -161,7 +162,7 @@
 	s.cfg.Journal.Record(Started{Key: r.Header.Get(KeyHeader), Rerun: r.Header.Get(RerunHeader), Index: index})
 	s.running.Add(1)
 	defer s.running.Add(-1)
-	took, faults := s.drawRunTime(payload)
+	runTime, faults := s.drawRunTime(payload)
 	if faults.FailAll {
 		http.Error(w, "this target fails every task", http.StatusInternalServerError)
 		return
@@ -170,39 +171,40 @@
 		<-r.Context().Done()
 		return
 	}
-	time.Sleep(took)
+	time.Sleep(runTime)
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(Result{Target: s.cfg.Name, Index: index, TookMillis: took.Milliseconds()})
+	_ = json.NewEncoder(w).Encode(Result{Target: s.cfg.Name, Index: index, TookMillis: runTime.Milliseconds()})
 }
 
-// Result is what the stand-in answers.
+// Result is the result of a task that the stand-in ran.
 type Result struct {
 	Target     string `json:"target"`
 	Index      int    `json:"index"`
 	TookMillis int64  `json:"tookMillis"`
 }
 
-// payloadOptions is the part of a payload that the stand-in understands.
+// payloadOptions is the part of a payload that the stand-in evaluates.
 type payloadOptions struct {
 	RunMillis *float64 `json:"runMillis"` // the run time at speed 1
 }
 
-// drawRunTime draws the run time of a task, unless its payload names one.
+// drawRunTime returns a random run time for a task, or the one in its payload,
+// adjusted for speed and faults.
 func (s *Server) drawRunTime(payload []byte) (time.Duration, Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	took := float64(s.cfg.Median) * math.Exp(s.cfg.Sigma*s.rand.NormFloat64())
+	runTime := float64(s.cfg.Median) * math.Exp(s.cfg.Sigma*s.rand.NormFloat64())
 	var p payloadOptions
 	if json.Unmarshal(payload, &p) == nil && p.RunMillis != nil {
-		took = *p.RunMillis * float64(time.Millisecond)
+		runTime = *p.RunMillis * float64(time.Millisecond)
 	}
 	if s.cfg.Speed > 0 {
-		took /= s.cfg.Speed
+		runTime /= s.cfg.Speed
 	}
 	if s.faults.Slow > 0 {
-		took *= s.faults.Slow
+		runTime *= s.faults.Slow
 	}
-	return time.Duration(took), s.faults
+	return time.Duration(runTime), s.faults
 }
 
 func (s *Server) putFaults(w http.ResponseWriter, r *http.Request) {
