--- a/demo/demo.go
+++ b/demo/demo.go
@@ -1,12 +1,12 @@
 // Package demo runs a small installation in one process on loopback and checks
-// its promises against the targets' own records.
+// the guarantees to callers against the journals of the targets.
 //
 // # Model
 //
-// A Fleet is a key-value stand-in, entries, agents and stand-in targets, each
-// with real listeners, that can be killed and replaced. Run submits jobs over
-// HTTP while it kills and replaces an agent and an entry, resubmits what a
-// caller would believe lost, and counts the wrongs.
+// A Fleet consists of a key-value stand-in, entries, agents and stand-in targets,
+// each with real listeners; entries and agents can be killed and replaced. Run
+// submits jobs over HTTP while it kills and replaces an agent and an entry,
+// resubmits jobs that got no answer, and counts violations of the guarantees.
 //
 // # Usage
 //
@@ -30,16 +30,16 @@
 	"masticbay/load"
 )
 
-// Config bounds a run.
+// Config configures a run.
 type Config struct {
 	Jobs           int
-	SubmitDuration time.Duration // submissions are spread over this time
+	SubmitDuration time.Duration // time over which the submissions are spread
 	Seed           int
 	Log            io.Writer // nil to discard
 }
 
-// Report is the outcome of a run. StartedTwice and NotRunButStarted are counts
-// of wrongs, taken from the targets' journals.
+// Report is the outcome of a run. StartedTwice, NotRunButStarted and
+// PartialAnswers count violations of the guarantees, as Verdict does.
 type Report struct {
 	Jobs             int     `json:"jobs"`
 	Complete         int     `json:"complete"`
@@ -55,7 +55,7 @@
 	MessagesPerTask  float64 `json:"messagesPerTask"`
 	Seconds          float64 `json:"seconds"`
 
-	Requests map[string]uint64 `json:"requests"` // between processes, by method
+	Requests map[string]uint64 `json:"requests"` // requests between processes, by method
 }
 
 const (
@@ -69,14 +69,14 @@
 )
 
 // Run runs the demonstration. It returns an error if the installation did not
-// come up; wrongs are in the report.
+// start; violations are in the report.
 func Run(ctx context.Context, cfg Config) (rep Report, err error) {
 	defer func() { err = errors.Annotate(err, "running the demonstration") }()
 	log := zerolog.Nop()
 	if cfg.Log != nil {
 		log = zerolog.New(cfg.Log).With().Timestamp().Logger()
 	}
-	begin := time.Now()
+	start := time.Now()
 	f, err := StartFleet(FleetConfig{Entries: demoEntries, Agents: demoAgents, Seed: cfg.Seed, Log: log})
 	if err != nil {
 		return rep, err
@@ -88,11 +88,11 @@
 	r := &runner{fleet: f, cfg: cfg, rand: rand.New(rand.NewPCG(uint64(cfg.Seed), 2))}
 	r.run(ctx)
 	rep = r.report()
-	rep.Seconds = time.Since(begin).Seconds()
+	rep.Seconds = time.Since(start).Seconds()
 	return rep, nil
 }
 
-// runner submits the jobs of a run.
+// runner submits the jobs of a run and collects the answers.
 type runner struct {
 	fleet *Fleet
 	cfg   Config
@@ -114,8 +114,8 @@
 	wg.Wait()
 }
 
-// injectFailures kills and replaces an agent after a fifth and an entry after
-// three quarters of the jobs.
+// injectFailures kills and replaces an agent after a fifth of the jobs has been
+// submitted, and an entry after three quarters.
 func (r *runner) injectFailures(ctx context.Context) {
 	r.awaitSubmitted(ctx, r.cfg.Jobs/5)
 	r.fleet.KillAgent(0)
@@ -143,20 +143,20 @@
 }
 
 func (r *runner) runCaller(ctx context.Context) {
-	begin := time.Now()
+	start := time.Now()
 	for ctx.Err() == nil {
 		n := int(r.next.Add(1)) - 1
 		if n >= r.cfg.Jobs {
 			return
 		}
-		due := begin.Add(r.cfg.SubmitDuration * time.Duration(n) / time.Duration(r.cfg.Jobs))
+		due := start.Add(r.cfg.SubmitDuration * time.Duration(n) / time.Duration(r.cfg.Jobs))
 		pause(ctx, time.Until(due))
 		r.submit(ctx, n)
 	}
 }
 
-// submit runs one job, resubmitting it to the other entry while its caller
-// has no answer.
+// submit submits job n, and resubmits it to the entries in turn until it is
+// answered or maxTries is reached.
 func (r *runner) submit(ctx context.Context, n int) {
 	req := r.request(n)
 	for try := range maxTries {
--- a/demo/fleet.go
+++ b/demo/fleet.go
@@ -20,20 +20,20 @@
 	"masticbay/wire"
 )
 
-// Service is the service of a Fleet's targets.
+// Service is the service that a Fleet's targets run.
 const Service = "pickup"
 
-// FleetConfig describes a Fleet.
+// FleetConfig configures a Fleet.
 type FleetConfig struct {
 	Entries int
 	Agents  int
 	Seed    int
 	Log     zerolog.Logger
-	Policy  func(*setting.Policy) // changes the policy, if set
-	Target  func(*target.Config)  // changes the targets, if set
+	Policy  func(*setting.Policy) // modifies the policy, if not nil
+	Target  func(*target.Config)  // modifies the configuration of each target, if not nil
 }
 
-// Fleet is an installation in this process.
+// Fleet is an installation that runs in this process.
 type Fleet struct {
 	cfg      FleetConfig
 	store    *store.Server
@@ -51,7 +51,8 @@
 
 const headerTimeout = 10 * time.Second
 
-// StartFleet starts everything.
+// StartFleet starts the key-value stand-in, the entries, the targets and the
+// agents.
 func StartFleet(cfg FleetConfig) (f *Fleet, err error) {
 	defer func() { err = errors.Annotate(err, "starting a fleet") }()
 	ln, err := net.Listen("tcp", loopback)
@@ -90,14 +91,14 @@
 	runTimeSigma   = 0.6
 )
 
-// freeAddresses returns n different loopback addresses that nobody listens on.
+// freeAddresses returns n different loopback addresses whose ports are free.
 func freeAddresses(n int) (addrs []string, err error) {
 	for range n {
 		ln, err := net.Listen("tcp", loopback)
 		if err != nil {
 			return nil, err
 		}
-		defer func() { _ = ln.Close() }() // all stay taken until the last is chosen
+		defer func() { _ = ln.Close() }() // hold all ports until the last is chosen
 		addrs = append(addrs, ln.Addr().String())
 	}
 	return addrs, nil
@@ -141,7 +142,7 @@
 	return nil
 }
 
-// StartEntry starts entry i anew.
+// StartEntry starts entry i, or replaces it after it was killed or stopped.
 func (f *Fleet) StartEntry(i int) error {
 	cfg := f.entryCfg[i]
 	e, err := entry.Start(cfg, entry.Options{Log: f.cfg.Log, Store: store.NewConsul(cfg.Platform)})
@@ -155,7 +156,8 @@
 	return nil
 }
 
-// StartAgent starts agent i anew, beside its target.
+// StartAgent starts the agent of target i, or replaces it after it was killed or
+// stopped.
 func (f *Fleet) StartAgent(i int) error {
 	a, err := agent.Start(f.agentCfg[i], agent.Options{Log: f.cfg.Log})
 	if err != nil {
@@ -184,16 +186,16 @@
 	return err
 }
 
-// KillEntry ends entry i abruptly.
+// KillEntry ends entry i without a planned stop.
 func (f *Fleet) KillEntry(i int) { f.entry(i).Kill() }
 
-// KillAgent ends agent i abruptly.
+// KillAgent ends agent i without a planned stop.
 func (f *Fleet) KillAgent(i int) { f.agent(i).Kill() }
 
-// StopEntry ends entry i as planned.
+// StopEntry stops entry i as planned.
 func (f *Fleet) StopEntry(ctx context.Context, i int) error { return f.entry(i).Stop(ctx) }
 
-// StopAgent ends agent i as planned.
+// StopAgent stops agent i as planned.
 func (f *Fleet) StopAgent(ctx context.Context, i int) error { return f.agent(i).Stop(ctx) }
 
 func (f *Fleet) entry(i int) *entry.Entry {
@@ -217,12 +219,12 @@
 // EntryURL returns the URL of entry i.
 func (f *Fleet) EntryURL(i int) string { return "http://" + f.entryCfg[i].HTTP }
 
-// Journals returns what each target started.
-func (f *Fleet) Journals() (js []map[target.Started]int) {
+// Journals returns the number of starts of each task, by target.
+func (f *Fleet) Journals() (journals []map[target.Started]int) {
 	for _, t := range f.targets {
-		js = append(js, t.Journal().Counts())
+		journals = append(journals, t.Journal().Counts())
 	}
-	return js
+	return journals
 }
 
 // Messages returns the number of messages sent between processes so far.
@@ -249,15 +251,15 @@
 	return sum
 }
 
-// AwaitReady waits until every entry knows every agent as listed and, if
-// settled is set, until jobs run without claims.
+// AwaitReady waits until every entry lists all entries and agents and, if settled
+// is set, until jobs need no claims. It returns an error after limit.
 func (f *Fleet) AwaitReady(ctx context.Context, limit time.Duration, settled bool) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	for i := range f.entries {
 		for !f.ready(ctx, i, settled) {
 			if ctx.Err() != nil {
-				return errors.Errorf("entry %d did not get ready within %v", i, limit)
+				return errors.Errorf("entry %d was not ready within %v", i, limit)
 			}
 			pause(ctx, readyPoll)
 		}
@@ -272,16 +274,16 @@
 	if err != nil || len(st.Entries) < len(f.entries) || (settled && !st.Settled) {
 		return false
 	}
-	ready := 0
+	usable := 0
 	for _, a := range st.Agents {
 		if a.State == "ready" || (a.State == "young" && !settled) {
-			ready++
+			usable++
 		}
 	}
-	return ready >= len(f.agents)
+	return usable >= len(f.agents)
 }
 
-// Close ends everything.
+// Close kills all entries, agents and targets and closes the key-value stand-in.
 func (f *Fleet) Close() {
 	for i := range f.entries {
 		f.KillEntry(i)
--- a/demo/site.go
+++ b/demo/site.go
@@ -20,41 +20,41 @@
 	"masticbay/work"
 )
 
-// SiteConfig describes a run of RunSite.
+// SiteConfig configures RunSite.
 type SiteConfig struct {
 	Jobs           int
-	SubmitDuration time.Duration // over which the jobs are submitted
+	SubmitDuration time.Duration // time over which the submissions are spread
 	Log            zerolog.Logger
 }
 
-// SiteReport is what RunSite has seen.
+// SiteReport is the outcome of RunSite.
 type SiteReport struct {
 	Jobs           int `json:"jobs"`
 	Completed      int `json:"completed"`
 	Rejected       int `json:"rejected"`
-	Unanswered     int `json:"unanswered"` // also after a second submission
+	Unanswered     int `json:"unanswered"` // jobs without an answer after all submissions
 	Runs           int `json:"runs"`
-	RunTwiceAtOnce int `json:"runTwiceAtOnce"` // tasks with two runs at the same time
-	RejectedButRan int `json:"rejectedButRan"` // jobs
+	RunTwiceAtOnce int `json:"runTwiceAtOnce"` // tasks of which two runs overlapped in time
+	RejectedButRan int `json:"rejectedButRan"` // jobs that ran, but were answered as rejected
 	HomesKilled    int `json:"homesKilled"`
 }
 
-// HasViolations reports whether a promise was broken.
+// HasViolations reports whether any guarantee was violated.
 func (r *SiteReport) HasViolations() bool { return r.RunTwiceAtOnce+r.RejectedButRan > 0 }
 
-// The size of the site that RunSite plays.
+// The size and the times of the site that RunSite starts.
 const (
 	siteEntries          = 3
 	siteAgents           = 4
 	siteHeartbeat        = time.Second
-	siteCallerTimeout    = 5 * time.Second // of callers
+	siteCallerTimeout    = 5 * time.Second // until a caller gives up
 	siteResubmitInterval = 1300 * time.Millisecond
-	siteStartupTime      = 2 * time.Second // until entries and agents have found one another
+	siteStartupTime      = 2 * time.Second // until entries and agents are in contact
 )
 
 var siteQueue = work.Queue{Name: "pickup", Service: Service, MaxAttempts: 2, Stretch: 1.6, Target: 60 * time.Millisecond}
 
-// siteRun is a site on loopback: stand-ins of the users' platform, and whole
+// siteRun is a site on loopback: stand-ins for the users' platform, with real
 // entries and agents.
 type siteRun struct {
 	cfg       SiteConfig
@@ -62,16 +62,17 @@
 	workers   []*standin.Worker
 	agents    []*site.Agent
 	ctx       context.Context
-	addresses map[string]string // by name of an address
+	addresses map[string]string // by the name of the listener
 
 	mu       sync.Mutex // guards what follows
 	entries  []*site.Entry
 	report   SiteReport
-	rejected []string
+	rejected []string // job ids
 }
 
-// RunSite runs masticbay on stand-ins of the users' platform, kills the home
-// halfway, and judges what the workers and the callers saw.
+// RunSite runs masticbay on stand-ins for the users' platform, kills the home (the
+// coordinator that places the tasks of a site) halfway, and checks the workers'
+// journals against the answers to callers.
 func RunSite(ctx context.Context, cfg SiteConfig) (rep SiteReport, err error) {
 	defer func() { err = errors.Annotate(err, "running a site") }()
 	ctx, cancel := context.WithCancel(ctx)
@@ -107,7 +108,8 @@
 	return nil
 }
 
-// address returns a loopback address that stays the same for a name.
+// address returns the loopback address of a listener; it picks a free port at the
+// first call for each name.
 func (s *siteRun) address(name string) string {
 	if a, ok := s.addresses[name]; ok {
 		return a
@@ -169,23 +171,24 @@
 	return nil
 }
 
-// siteRunTime spreads run times between 50 and 250 ms by the task's name.
+// siteRunTime returns a run time between 50 and 250 ms that depends on the name of
+// the task.
 func siteRunTime(task string, _ int) (time.Duration, bool) {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(task)) // never fails
 	return 50*time.Millisecond + time.Duration(h.Sum32()%200)*time.Millisecond, false
 }
 
-// submitJobs submits the jobs, and kills the home halfway.
+// submitJobs submits the jobs at a fixed interval and kills the home halfway.
 func (s *siteRun) submitJobs() {
 	var callers sync.WaitGroup
-	pause := s.cfg.SubmitDuration / time.Duration(s.cfg.Jobs)
+	interval := s.cfg.SubmitDuration / time.Duration(s.cfg.Jobs)
 	for i := range s.cfg.Jobs {
 		if i == s.cfg.Jobs/2 {
 			s.killHome()
 		}
 		callers.Go(func() { s.submit(i) })
-		time.Sleep(pause)
+		time.Sleep(interval)
 	}
 	callers.Wait()
 }
@@ -203,13 +206,13 @@
 	}
 }
 
-// submit submits a job, and again elsewhere when there was no answer.
+// submit submits a job, and resubmits it to the next entry if it got no answer.
 func (s *siteRun) submit(i int) {
-	c := standin.Caller{Client: http.DefaultClient, Waits: siteCallerTimeout}
+	caller := standin.Caller{Client: http.DefaultClient, Waits: siteCallerTimeout}
 	id := fmt.Sprintf("%016x", i)
 	step := work.Step{Count: 1 + i%6, Room: work.Room{CPU: 1000, Memory: 16}, Estimate: 150 * time.Millisecond}
 	for try := range siteEntries {
-		rep, err := c.Submit(s.ctx, s.address(fmt.Sprint("front", (i+try)%siteEntries)), siteQueue.Name, id, step)
+		rep, err := caller.Submit(s.ctx, s.address(fmt.Sprint("front", (i+try)%siteEntries)), siteQueue.Name, id, step)
 		if err != nil || rep.Status == http.StatusGatewayTimeout {
 			time.Sleep(siteResubmitInterval)
 			continue
--- a/demo/judge.go
+++ b/demo/verify.go
@@ -5,16 +5,16 @@
 	"masticbay/target"
 )
 
-// Verdict compares answers with what targets recorded.
+// Verdict counts the tasks and answers that violate a guarantee.
 type Verdict struct {
-	Started          int // starts at all targets
+	Started          int // starts of tasks at all targets
 	StartedTwice     int // tasks that started more than once
-	NotRunButStarted int // tasks that were said not to have run, and did
-	Partial          int // answers with some results but not all
-	DoneButNotRun    int // tasks of complete jobs that never started
+	NotRunButStarted int // tasks that were answered as not run, but had started
+	Partial          int // answers that are neither complete nor failed as a whole
+	DoneButNotRun    int // tasks with a result that never started
 }
 
-// Wrong reports whether a promise was broken.
+// Wrong reports whether any guarantee was violated.
 func (v *Verdict) Wrong() bool {
 	return v.StartedTwice+v.NotRunButStarted+v.Partial+v.DoneButNotRun > 0
 }
@@ -24,8 +24,7 @@
 	index int
 }
 
-// Judge compares the answers that callers got with the journals of all
-// targets.
+// Judge compares the answers that callers got with the journals of all targets.
 func Judge(answers []job.Answer, journals []map[target.Started]int) (v Verdict) {
 	starts := make(map[target.Started]int)
 	ran := make(map[taskID]bool)
@@ -50,9 +49,9 @@
 func (v *Verdict) checkAnswer(a *job.Answer, ran map[taskID]bool) {
 	n := a.Counts
 	total := n.Queued + n.Dispatched + n.Done + n.Failed + n.NotRun + n.Unknown
-	whole := a.Status == job.Complete && n.Done == total && len(a.Results) == total
+	complete := a.Status == job.Complete && n.Done == total && len(a.Results) == total
 	failed := a.Status == job.Broken && len(a.Results) == 0 && n.Queued+n.Dispatched == 0
-	if !whole && !failed {
+	if !complete && !failed {
 		v.Partial++
 	}
 	for i, s := range a.States {
