--- a/command/agent.go
+++ b/command/agent.go
@@ -12,7 +12,7 @@
 func agentCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "agent",
-		Usage: "runs an agent: the process beside a target that starts its tasks",
+		Usage: "runs an agent, the process beside a target that starts its tasks",
 		Flags: []cli.Flag{configFlag()},
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			cfg, err := readSettings[setting.Agent](cmd)
--- a/command/client.go
+++ b/command/client.go
@@ -25,7 +25,7 @@
 
 func outputFlag() cli.Flag {
 	return &cli.StringFlag{
-		Name: "output", Value: "text", Usage: "`FORMAT` of the output: text or json",
+		Name: "output", Value: "text", Usage: "output `FORMAT`: text or json",
 		Validator: func(s string) error {
 			if s != "text" && s != "json" {
 				return usagef("--output: %q is not allowed; want text or json", s)
@@ -35,7 +35,7 @@
 	}
 }
 
-// problemError is an error that an entry replied.
+// problemError is the error reply of an entry.
 type problemError struct {
 	status int
 	entry.Problem
@@ -47,7 +47,8 @@
 
 const replyTimeout = 2 * time.Minute
 
-// callEntry sends a request to an entry and decodes the reply into R.
+// callEntry sends a request to an entry and decodes the reply into R. An error
+// reply is returned as a *problemError.
 func callEntry[R any](ctx context.Context, cmd *cli.Command, method, path string, body any) (rep R, err error) {
 	defer func() { err = errors.Annotatef(err, "%s %s", method, path) }()
 	ctx, cancel := context.WithTimeout(ctx, replyTimeout)
@@ -88,7 +89,7 @@
 	return p
 }
 
-// printOutput prints v as JSON if asked to, or by text otherwise.
+// printOutput prints v as JSON if --output is json, and calls text otherwise.
 func printOutput(cmd *cli.Command, v any, text func(w io.Writer)) error {
 	if cmd.String("output") != "json" {
 		text(os.Stdout)
--- a/command/config.go
+++ b/command/config.go
@@ -14,11 +14,11 @@
 func configCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "config",
-		Usage: "checks files of settings and prints what can be set",
+		Usage: "checks settings files and lists the settings of each role",
 		Commands: []*cli.Command{
 			{
 				Name:      "check",
-				Usage:     "checks a file of settings",
+				Usage:     "checks a settings file",
 				ArgsUsage: "FILE",
 				Action: func(_ context.Context, cmd *cli.Command) error {
 					if cmd.Args().Len() != 1 {
@@ -29,10 +29,10 @@
 			},
 			{
 				Name:      "reference",
-				Usage:     "prints every setting of a role: entry, agent, site, platform or target",
+				Usage:     "lists the settings of a role: entry, agent, site, platform or target",
 				ArgsUsage: "ROLE",
 				Action: func(_ context.Context, cmd *cli.Command) error {
-					return reference(os.Stdout, cmd.Args().First())
+					return printReference(os.Stdout, cmd.Args().First())
 				},
 			},
 		},
@@ -65,11 +65,11 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s: the settings of the %s are good\n", path, role)
+	fmt.Printf("%s: the settings of the %s are valid\n", path, role)
 	return nil
 }
 
-func reference(w io.Writer, role string) error {
+func printReference(w io.Writer, role string) error {
 	switch role {
 	case "entry":
 		return setting.Reference[setting.Entry](w)
--- a/command/daemon.go
+++ b/command/daemon.go
@@ -15,7 +15,8 @@
 	"masticbay/web"
 )
 
-// readSettings reads the file that the flag names, or returns the defaults.
+// readSettings reads the file that the flag --config names, or returns the
+// defaults if the flag is not set.
 func readSettings[T setting.Role](cmd *cli.Command) (cfg T, err error) {
 	path := cmd.String("config")
 	if path == "" {
@@ -25,14 +26,14 @@
 	return setting.Read[T](path)
 }
 
-// daemon is a daemon that is running.
+// daemon is a running entry or agent.
 type daemon interface {
 	Stop(ctx context.Context) error
 	Done() <-chan struct{} // closed when the daemon has ended
 }
 
-// runDaemon runs a daemon until a signal asks it to stop, and stops it gracefully
-// within limit. It is an error if the daemon ends by itself.
+// runDaemon waits for SIGINT or SIGTERM and then stops the daemon gracefully
+// within limit. It returns an error if the daemon ends by itself.
 func runDaemon(d daemon, limit time.Duration) error {
 	select {
 	case <-stopSignal():
@@ -44,7 +45,8 @@
 	return d.Stop(ctx)
 }
 
-// setUpTelemetry sets up the log and the traces of a daemon.
+// setUpTelemetry sets up the log and the traces of a daemon. The returned function
+// flushes the traces.
 func setUpTelemetry(role string, c setting.Common, limit time.Duration) (log zerolog.Logger, flush func(), err error) {
 	web.AllowSlowStop(limit + stopMargin)
 	log = telemetry.NewLog(os.Stderr, c.LogLevel, role)
@@ -59,10 +61,11 @@
 	}, nil
 }
 
-// stopMargin is what a stop may take beside its own limit.
+// stopMargin is the time that a stop may take in addition to its limit.
 const stopMargin = 10 * time.Second
 
-// openAppend opens a file to append to; an empty path discards.
+// openAppend opens a file for appending. It returns a nil writer for an empty
+// path.
 func openAppend(path string) (io.Writer, error) {
 	if path == "" {
 		return nil, nil
--- a/command/demo.go
+++ b/command/demo.go
@@ -15,11 +15,11 @@
 func demoCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "demo",
-		Usage: "runs a small installation on loopback, kills parts of it, and checks the promises",
+		Usage: "runs a small installation on loopback, kills parts of it and checks the guarantees to callers",
 		Flags: []cli.Flag{
 			&cli.IntFlag{Name: "jobs", Value: 300, Usage: "number of jobs"},
-			&cli.DurationFlag{Name: "for", Value: 8 * time.Second, Usage: "time over which jobs are submitted"},
-			&cli.IntFlag{Name: "seed", Value: 1, Usage: "seed of sizes and run times"},
+			&cli.DurationFlag{Name: "for", Value: 8 * time.Second, Usage: "time over which the jobs are submitted"},
+			&cli.IntFlag{Name: "seed", Value: 1, Usage: "seed of job sizes and run times"},
 			&cli.BoolFlag{Name: "verbose", Usage: "log to standard error"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
@@ -38,7 +38,7 @@
 				return err
 			}
 			if rep.StartedTwice+rep.NotRunButStarted+rep.PartialAnswers > 0 {
-				return errors.New("a promise was broken; see the counts above")
+				return errors.New("a guarantee was violated; see the counts above")
 			}
 			return nil
 		},
--- a/command/entry.go
+++ b/command/entry.go
@@ -13,12 +13,12 @@
 func entryCommand() *cli.Command {
 	return &cli.Command{
 		Name:     "entry",
-		Usage:    "runs an entry: the process that serves callers and operators",
+		Usage:    "runs an entry, the process that serves callers and operators",
 		Flags:    []cli.Flag{configFlag()},
 		Commands: []*cli.Command{endCommand()},
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			if cmd.Args().Present() {
-				return usagef("no command %q of entry; see masticbay entry --help", cmd.Args().First())
+				return usagef("unknown command %q of entry; see masticbay entry --help", cmd.Args().First())
 			}
 			cfg, err := readSettings[setting.Entry](cmd)
 			if err != nil {
--- a/command/end.go
+++ b/command/entry_end.go
@@ -15,7 +15,7 @@
 func endCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "end",
-		Usage:     "declares that an entry has ended for good; never of one that may still run",
+		Usage:     "declares that an entry has ended for good; not to be used if it may still run",
 		ArgsUsage: "ENTRY",
 		Flags:     []cli.Flag{entryFlag(), outputFlag()},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
--- a/command/fleet.go
+++ b/command/fleet.go
@@ -20,12 +20,12 @@
 func fleetCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "fleet",
-		Usage: "runs many agents with stand-in targets in one process, to measure how costs grow",
+		Usage: "runs many agents with stand-in targets in one process, to measure how the message load grows with them",
 		Flags: []cli.Flag{
 			configFlag(),
 			&cli.IntFlag{Name: "count", Value: 10, Usage: "number of agents"},
-			&cli.IntFlag{Name: "first-port", Value: 20_000, Usage: "first of the ports, three for each agent"},
-			&cli.DurationFlag{Name: "for", Value: time.Minute, Usage: "duration; then the messages and bytes that were sent are printed"},
+			&cli.IntFlag{Name: "first-port", Value: 20_000, Usage: "first port; each agent uses three"},
+			&cli.DurationFlag{Name: "for", Value: time.Minute, Usage: "run time; the number of messages and bytes sent is printed at its end"},
 		},
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			cfg, err := readSettings[setting.Agent](cmd)
@@ -37,10 +37,10 @@
 	}
 }
 
-// portsPerAgent is the number of ports for one agent and its target.
+// portsPerAgent is the number of ports that one agent and its target use.
 const portsPerAgent = 3
 
-// fleetReport is what a fleet has sent.
+// fleetReport counts what the agents of a fleet have sent.
 type fleetReport struct {
 	Agents   int    `json:"agents"`
 	Messages uint64 `json:"messagesSent"`
--- a/command/job.go
+++ b/command/job.go
@@ -31,14 +31,14 @@
 		Usage: "submits a job and prints its answer",
 		Flags: []cli.Flag{
 			entryFlag(), outputFlag(),
-			&cli.StringFlag{Name: "file", Usage: "the job as JSON in `FILE` (- for standard input), as in docs/API.md"},
-			&cli.StringFlag{Name: "key", Usage: "key of the job; a new one without it"},
+			&cli.StringFlag{Name: "file", Usage: "`FILE` with the job as JSON (- for standard input), in the format of docs/API.md"},
+			&cli.StringFlag{Name: "key", Usage: "key of the job; generated if not set"},
 			teamFlag(),
 			&cli.StringFlag{Name: "service", Value: "pickup", Usage: "service of the job"},
-			&cli.IntFlag{Name: "tasks", Value: 1, Usage: "number of tasks without a payload"},
+			&cli.IntFlag{Name: "tasks", Value: 1, Usage: "number of tasks, which have no payload"},
 			&cli.BoolFlag{Name: "idempotent", Usage: "the tasks may run again under a later submission"},
 			&cli.BoolFlag{Name: "resubmission", Usage: "the key may have been submitted before"},
-			&cli.DurationFlag{Name: "deadline", Usage: "time from the submission on; the longest allowed without it"},
+			&cli.DurationFlag{Name: "deadline", Usage: "deadline, counted from the submission; the longest allowed if not set"},
 			&cli.BoolFlag{Name: "no-wait", Usage: "return as soon as the job is accepted"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
@@ -50,7 +50,7 @@
 			if err != nil {
 				return err
 			}
-			return showAnswer(cmd, &ans)
+			return printAnswer(cmd, &ans)
 		},
 	}
 }
@@ -85,8 +85,8 @@
 	return req, json.Unmarshal(raw, &req)
 }
 
-// showAnswer prints an answer; a job that failed is an error.
-func showAnswer(cmd *cli.Command, ans *job.Answer) error {
+// printAnswer prints an answer. It returns an error if the job failed.
+func printAnswer(cmd *cli.Command, ans *job.Answer) error {
 	err := printOutput(cmd, ans, func(w io.Writer) {
 		_, _ = fmt.Fprintf(w, "%s %s: %d done, %d failed, %d notRun, %d unknown, %d queued, %d dispatched\n", ans.Key, ans.Status,
 			ans.Counts.Done, ans.Counts.Failed, ans.Counts.NotRun, ans.Counts.Unknown, ans.Counts.Queued, ans.Counts.Dispatched)
@@ -115,7 +115,7 @@
 			if err != nil {
 				return err
 			}
-			return showAnswer(cmd, &ans)
+			return printAnswer(cmd, &ans)
 		},
 	}
 }
@@ -123,7 +123,7 @@
 func jobCancelCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "cancel",
-		Usage:     "cancels a job; what has started runs to its end",
+		Usage:     "cancels a job; tasks that have started run to their end",
 		ArgsUsage: "KEY",
 		Flags:     []cli.Flag{entryFlag(), outputFlag(), teamFlag()},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
@@ -140,7 +140,7 @@
 	return &cli.StringFlag{Name: "team", Value: "operators", Usage: "team of the job"}
 }
 
-// callJob calls an entry about the job that the command names.
+// callJob sends a request for the job that the arguments name.
 func callJob(ctx context.Context, cmd *cli.Command, method, query string) (ans job.Answer, err error) {
 	if cmd.Args().Len() != 1 {
 		return ans, usagef("want one KEY, got %d arguments", cmd.Args().Len())
--- a/command/platform.go
+++ b/command/platform.go
@@ -20,7 +20,7 @@
 func platformCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "platform",
-		Usage: "runs a stand-in of the platform's key-value service, for tests",
+		Usage: "runs a stand-in for the platform's key-value service, for tests",
 		Flags: []cli.Flag{configFlag()},
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			cfg, err := readSettings[setting.Platform](cmd)
--- a/command/run.go
+++ b/command/run.go
@@ -1,4 +1,4 @@
-// Package command is the command line of masticbay: one file for each command.
+// Package command implements the command line of masticbay.
 //
 // # Usage
 //
@@ -28,7 +28,7 @@
 	exitUsage
 )
 
-// usageError is an error of how a command was called.
+// usageError reports a command line with wrong arguments or flags.
 type usageError struct {
 	message string
 }
@@ -55,15 +55,15 @@
 		},
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			if cmd.Args().Present() {
-				return usagef("no command %q; see masticbay help", cmd.Args().First())
+				return usagef("unknown command %q; see masticbay help", cmd.Args().First())
 			}
 			return cli.ShowRootCommandHelp(cmd)
 		},
 	}
 	setUsageErrorHandler(root.Commands, root.OnUsageError)
-	telemetry.NewLog(io.Discard, "error", "cli") // daemons set up their own
+	telemetry.NewLog(io.Discard, "error", "cli") // a daemon replaces this log by its own
 	err := root.Run(context.Background(), args)
-	return exitCode(err)
+	return reportError(err)
 }
 
 func setUsageErrorHandler(cmds []*cli.Command, f cli.OnUsageErrorFunc) {
@@ -73,7 +73,8 @@
 	}
 }
 
-func exitCode(err error) int {
+// reportError prints an error, if there is one, and returns the exit code.
+func reportError(err error) int {
 	if err == nil {
 		return exitOK
 	}
@@ -90,7 +91,7 @@
 	return exitFailed
 }
 
-// stopSignal returns a channel that gets a SIGINT or SIGTERM.
+// stopSignal returns a channel that receives SIGINT and SIGTERM.
 func stopSignal() <-chan os.Signal {
 	ch := make(chan os.Signal, 1)
 	signal.Notify(ch, syscall.SIGINT, syscall.SIGTERM)
@@ -98,5 +99,5 @@
 }
 
 func configFlag() cli.Flag {
-	return &cli.StringFlag{Name: "config", Usage: "file of settings (`FILE`, TOML); defaults without it"}
+	return &cli.StringFlag{Name: "config", Usage: "settings `FILE` in TOML; the defaults apply if not set"}
 }
--- a/command/site.go
+++ b/command/site.go
@@ -19,16 +19,17 @@
 	"masticbay/web"
 )
 
-// stopReserve is what a stop leaves of the time before the process is killed.
+// stopReserve is the part of the grace period that a stop leaves for flushing logs
+// and traces before the process is killed.
 const stopReserve = 400 * time.Millisecond
 
 func siteCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "site",
-		Usage: "runs a process of masticbay on the users' platform",
+		Usage: "runs an entry or an agent on the users' platform",
 		Commands: []*cli.Command{
-			{Name: "entry", Usage: "serves callers", Flags: []cli.Flag{siteConfigFlag()}, Action: runSiteEntry},
-			{Name: "agent", Usage: "runs tasks on the worker of this VM", Flags: []cli.Flag{siteConfigFlag()}, Action: runSiteAgent},
+			{Name: "entry", Usage: "runs an entry, which serves callers", Flags: []cli.Flag{siteConfigFlag()}, Action: runSiteEntry},
+			{Name: "agent", Usage: "runs an agent, which runs tasks on the worker of this VM", Flags: []cli.Flag{siteConfigFlag()}, Action: runSiteAgent},
 			siteDemoCommand(),
 			siteReplayCommand(),
 		},
@@ -36,19 +37,19 @@
 }
 
 func siteConfigFlag() cli.Flag {
-	return &cli.StringFlag{Name: "config", Usage: "`FILE` of the product's own settings; see masticbay config reference site"}
+	return &cli.StringFlag{Name: "config", Usage: "`FILE` with masticbay's own settings; see masticbay config reference site"}
 }
 
-// siteProcess is what a process on the users' platform is made of.
+// siteProcess holds the settings and the log of a process on the users' platform.
 type siteProcess struct {
 	node  *platform.Node
 	cfg   setting.Site
 	log   zerolog.Logger
-	flush func() // writes what is left of logs and traces
+	flush func() // writes buffered log lines and traces
 }
 
-// prepareSite reads the platform's settings and the product's own, and sets up
-// logs and traces.
+// prepareSite reads the platform's settings and masticbay's own, and sets up logs
+// and traces.
 func prepareSite(cmd *cli.Command, role string) (p *siteProcess, err error) {
 	p = &siteProcess{cfg: setting.Default[setting.Site]()}
 	if p.node, err = platform.ReadNode(); err != nil {
@@ -70,19 +71,19 @@
 		ctx, cancel := context.WithTimeout(context.Background(), stopReserve/2)
 		defer cancel()
 		if err := stopTraces(ctx); err != nil {
-			log.Warn().Err(err).Msg("traces not written to the end")
+			log.Warn().Err(err).Msg("some traces were not exported")
 		}
 		flush()
 	}
 	return p, nil
 }
 
-// maxBufferedLogLines is how many lines wait for standard output; when it is full, lines
-// are dropped and counted, so that nothing waits for a reader.
+// maxBufferedLogLines is the number of log lines buffered for standard output.
+// Lines beyond it are dropped and counted, so that a slow reader blocks nothing.
 const maxBufferedLogLines = 4096
 
-// siteLog returns a log to standard output that never blocks, and a function
-// that writes what is left.
+// siteLog returns a log to standard output that never blocks, and a function that
+// writes the buffered lines.
 func siteLog(role, level string) (log zerolog.Logger, flush func()) {
 	w := diode.NewWriter(os.Stdout, maxBufferedLogLines, 0, func(missed int) {
 		fmt.Fprintf(os.Stderr, "{\"level\":\"warn\",\"message\":\"log lines dropped\",\"lines\":%d}\n", missed)
@@ -104,13 +105,13 @@
 	return runDaemon(e, p.node.Grace-stopReserve)
 }
 
-// reloader takes changed settings while it runs.
+// reloader is a process that applies changed settings while it runs.
 type reloader interface {
 	Reload(node *platform.Node)
 }
 
-// reloadOnHangup reads the node's settings again at each SIGHUP. Settings that
-// can not be read leave those in force that are.
+// reloadOnHangup reads the node's settings again at each SIGHUP. If they can't be
+// read, the current settings stay in force.
 func reloadOnHangup(r reloader, log zerolog.Logger) {
 	ch := make(chan os.Signal, 1)
 	signal.Notify(ch, syscall.SIGHUP)
--- a/command/site_demo.go
+++ b/command/site_demo.go
@@ -17,10 +17,10 @@
 func siteDemoCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "demo",
-		Usage: "runs entries and agents on stand-ins of the users' platform, kills the home, and checks the promises",
+		Usage: "runs entries and agents on stand-ins for the users' platform, kills the home (the coordinator that places tasks) and checks the guarantees to callers",
 		Flags: []cli.Flag{
 			&cli.IntFlag{Name: "jobs", Value: 300, Usage: "number of jobs"},
-			&cli.DurationFlag{Name: "for", Value: 8 * time.Second, Usage: "time over which jobs are submitted"},
+			&cli.DurationFlag{Name: "for", Value: 8 * time.Second, Usage: "time over which the jobs are submitted"},
 			&cli.BoolFlag{Name: "verbose", Usage: "log to standard error"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
@@ -39,7 +39,7 @@
 				return err
 			}
 			if rep.HasViolations() {
-				return errors.New("a promise was broken; see the counts above")
+				return errors.New("a guarantee was violated; see the counts above")
 			}
 			return nil
 		},
--- a/command/site_replay.go
+++ b/command/site_replay.go
@@ -13,9 +13,9 @@
 func siteReplayCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "replay",
-		Usage:     "replays load patterns against the decisions of a home in virtual time; writes a table and a plot of each",
-		ArgsUsage: "[FILE...]  (the embedded patterns if none is named)",
-		Flags:     []cli.Flag{&cli.Uint64Flag{Name: "seed", Usage: "replay with this `SEED` and not the pattern's own"}},
+		Usage:     "replays load patterns against the scheduling decisions of a home in virtual time, and writes a table and a plot of each",
+		ArgsUsage: "[FILE...]  (default: the embedded patterns)",
+		Flags:     []cli.Flag{&cli.Uint64Flag{Name: "seed", Usage: "`SEED` that replaces the one of the pattern"}},
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			patterns, err := loadPatterns(cmd.Args().Slice())
 			if err != nil {
@@ -34,7 +34,8 @@
 	}
 }
 
-// loadPatterns reads pattern files, or the embedded ones if none is named.
+// loadPatterns reads the named pattern files, or the embedded ones if files is
+// empty.
 func loadPatterns(files []string) (patterns []*bench.Pattern, err error) {
 	read := func(file string) (*bench.Pattern, error) {
 		raw, err := os.ReadFile(file)
--- a/command/status.go
+++ b/command/status.go
@@ -17,7 +17,7 @@
 	columnGap = 2
 )
 
-// printColumns prints rows of tab-separated cells in aligned columns.
+// printColumns prints the tab-separated cells that f writes in aligned columns.
 func printColumns(w io.Writer, f func(w io.Writer)) {
 	tw := tabwriter.NewWriter(w, columnMin, 0, columnGap, ' ', 0)
 	f(tw)
@@ -27,7 +27,7 @@
 func statusCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "status",
-		Usage: "prints entries, agents, queues and the table revision as an entry sees them",
+		Usage: "prints the entries, agents, queues and table revision that an entry knows",
 		Flags: []cli.Flag{entryFlag(), outputFlag()},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			st, err := callEntry[entry.StatusReply](ctx, cmd, http.MethodGet, "/v1/status", nil)
--- a/command/table.go
+++ b/command/table.go
@@ -40,7 +40,7 @@
 func tableListCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "list",
-		Usage: "lists the rows that are in force at an entry",
+		Usage: "lists the rows in force at an entry",
 		Flags: []cli.Flag{entryFlag(), outputFlag()},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			rows, err := callEntry[[]table.Row](ctx, cmd, http.MethodGet, "/v1/table", nil)
@@ -52,7 +52,7 @@
 	}
 }
 
-// rowPath returns the path of the row that the arguments KIND NAME name.
+// rowPath returns the URL path of the row that the arguments KIND and NAME name.
 func rowPath(cmd *cli.Command, base string) (string, error) {
 	if cmd.Args().Len() != 2 {
 		return "", usagef("want KIND NAME, got %d arguments", cmd.Args().Len())
@@ -83,15 +83,15 @@
 func tableSetCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "set",
-		Usage:     "changes one row, or makes it",
+		Usage:     "changes or creates one row",
 		ArgsUsage: "KIND NAME",
 		Flags: []cli.Flag{
 			entryFlag(), outputFlag(), waitFlag(),
-			&cli.FloatFlag{Name: "weight", Usage: "share against rows of the same kind"},
-			&cli.IntFlag{Name: "limit", Usage: "concurrent tasks; 0 for no limit, -1 for none at all"},
-			&cli.BoolFlag{Name: "drain", Usage: "targets: start nothing new"},
+			&cli.FloatFlag{Name: "weight", Usage: "share relative to other rows of the same kind"},
+			&cli.IntFlag{Name: "limit", Usage: "most concurrent tasks; 0 for no limit, -1 to allow none"},
+			&cli.BoolFlag{Name: "drain", Usage: "for targets: start no new tasks"},
 			&cli.BoolFlag{Name: "remove", Usage: "remove the row"},
-			&cli.Uint64Flag{Name: "base", Usage: "`REVISION` that the edit is based on; the present one without it"},
+			&cli.Uint64Flag{Name: "base", Usage: "`REVISION` on which the edit is based; the current one if not set"},
 			authorFlag(),
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
@@ -109,14 +109,14 @@
 }
 
 func authorFlag() cli.Flag {
-	return &cli.StringFlag{Name: "author", Sources: cli.EnvVars("USER"), Usage: "who edits"}
+	return &cli.StringFlag{Name: "author", Sources: cli.EnvVars("USER"), Usage: "name of the person who makes the edit"}
 }
 
 func waitFlag() cli.Flag {
-	return &cli.BoolFlag{Name: "wait", Usage: "wait until the change is in force at every known process"}
+	return &cli.BoolFlag{Name: "wait", Usage: "wait until the change is in force at all known processes"}
 }
 
-// editFromFlags returns the present row as an edit, changed as the flags say.
+// editFromFlags returns an edit of the current row that applies the flags.
 func editFromFlags(ctx context.Context, cmd *cli.Command, path string) (ed entry.RowEdit, err error) {
 	row, err := callEntry[table.Row](ctx, cmd, http.MethodGet, path, nil)
 	if p, ok := errors.AsType[*problemError](err); ok && p.status == http.StatusNotFound {
@@ -142,7 +142,8 @@
 	return ed, nil
 }
 
-// putRow writes an edit, prints the row, and waits if asked to.
+// putRow writes an edit and prints the row. With --wait it waits until the row is
+// in force.
 func putRow(ctx context.Context, cmd *cli.Command, path string, ed entry.RowEdit) error {
 	row, err := callEntry[table.Row](ctx, cmd, http.MethodPut, path, ed)
 	if p, ok := errors.AsType[*problemError](err); ok && p.Current != nil {
@@ -165,8 +166,8 @@
 	maxInForcePolls = 50
 )
 
-// awaitInForce reports on how many processes a revision is in force until it is
-// everywhere.
+// awaitInForce waits until a revision is in force at all known processes, and
+// prints the progress.
 func awaitInForce(ctx context.Context, cmd *cli.Command, rev uint64) error {
 	path := fmt.Sprintf("/v1/force?revision=%d", rev)
 	var rep entry.ForceReply
@@ -187,7 +188,7 @@
 func tableHistoryCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "history",
-		Usage:     "lists the earlier states of a row, the newest first",
+		Usage:     "lists the earlier revisions of a row, newest first",
 		ArgsUsage: "KIND NAME",
 		Flags:     []cli.Flag{entryFlag(), outputFlag()},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
@@ -204,10 +205,10 @@
 	}
 }
 
-func drainCommand(name string, on bool) *cli.Command {
-	usage := "gives a target new work again"
-	if on {
-		usage = "keeps new work from a target; what runs there goes on"
+func drainCommand(name string, drain bool) *cli.Command {
+	usage := "allows new tasks on a target again"
+	if drain {
+		usage = "starts no new tasks on a target; running tasks continue"
 	}
 	return &cli.Command{
 		Name:      name,
@@ -223,7 +224,7 @@
 			if err != nil {
 				return err
 			}
-			ed.Drain = on
+			ed.Drain = drain
 			return putRow(ctx, cmd, path, ed)
 		},
 	}
--- a/command/spreadsheet.go
+++ b/command/table_csv.go
@@ -34,7 +34,7 @@
 func tableImportCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "import",
-		Usage:     "reads CSV and edits the rows that differ; a conflict leaves its row as it is",
+		Usage:     "imports rows from CSV and edits those that differ; a row with a conflict stays unchanged",
 		ArgsUsage: "FILE",
 		Flags:     []cli.Flag{entryFlag(), outputFlag(), waitFlag(), authorFlag()},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
@@ -84,7 +84,7 @@
 func tableEditCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "edit",
-		Usage:     "writes the table as CSV to FILE, waits while you edit it, and imports it",
+		Usage:     "writes the table as CSV to FILE, waits while you edit it and imports it",
 		ArgsUsage: "FILE",
 		Flags:     []cli.Flag{entryFlag(), outputFlag(), waitFlag(), authorFlag()},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
@@ -108,7 +108,7 @@
 	}
 }
 
-// writeRows writes rows as CSV to a file that must not exist yet.
+// writeRows writes rows as CSV to a new file. It fails if the file exists.
 func writeRows(path string, rows []table.Row) (err error) {
 	defer func() { err = errors.Annotatef(err, "writing %s", path) }()
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
--- a/command/target.go
+++ b/command/target.go
@@ -16,19 +16,19 @@
 func targetCommand() *cli.Command {
 	return &cli.Command{
 		Name:     "target",
-		Usage:    "runs a stand-in of a target, for tests; lists and drains targets",
+		Usage:    "runs a stand-in for a target, for tests; lists and drains targets",
 		Flags:    []cli.Flag{configFlag()},
 		Commands: []*cli.Command{targetListCommand(), drainCommand("drain", true), drainCommand("undrain", false)},
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			if cmd.Args().Present() {
-				return usagef("no command %q of target; see masticbay target --help", cmd.Args().First())
+				return usagef("unknown command %q of target; see masticbay target --help", cmd.Args().First())
 			}
 			return runTarget(cmd)
 		},
 	}
 }
 
-// targetStopTimeout is the longest planned stop of the stand-in.
+// targetStopTimeout limits a planned stop of the stand-in.
 const targetStopTimeout = 2 * time.Minute
 
 func runTarget(cmd *cli.Command) error {
