--- a/demo/demo.go
+++ b/demo/demo.go
@@ -98,7 +98,7 @@
 	cfg   Config
 	next  atomic.Int64
 
-	mu          sync.Mutex // guards what follows
+	mu          sync.Mutex // guards the fields below
 	rand        *rand.Rand
 	answers     []job.Answer
 	unanswered  int
--- a/demo/fleet.go
+++ b/demo/fleet.go
@@ -40,7 +40,7 @@
 	storeURL string
 	http     *http.Server
 
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards the fields below
 	entries  []*entry.Entry
 	entryCfg []setting.Entry
 	agents   []*agent.Agent
--- a/demo/site.go
+++ b/demo/site.go
@@ -64,7 +64,7 @@
 	ctx       context.Context
 	addresses map[string]string // by the name of the listener
 
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards the fields below
 	entries  []*site.Entry
 	report   SiteReport
 	rejected []string // job ids
--- a/load/run.go
+++ b/load/run.go
@@ -83,12 +83,13 @@
 	rand     *rand.Rand // used by submitLoop only
 	jobs     sync.WaitGroup
 
-	mu     sync.Mutex // guards what follows
+	mu     sync.Mutex // guards the fields below
 	hist   *hdrhistogram.Histogram
 	report Report
 }
 
-// jobPlan holds the request of one job and what is done with it.
+// jobPlan holds the request of one job, when and where it is submitted, and
+// whether it is resubmitted or cancelled.
 type jobPlan struct {
 	due                          time.Time
 	entry                        int
--- a/target/journal.go
+++ b/target/journal.go
@@ -16,7 +16,7 @@
 // Journal records every start of a task. The zero value keeps the records in
 // memory only. It is safe for concurrent use.
 type Journal struct {
-	mu     sync.Mutex // guards what follows
+	mu     sync.Mutex // guards the fields below
 	starts map[Started]int
 	total  int
 	file   io.Writer
--- a/target/server.go
+++ b/target/server.go
@@ -52,7 +52,7 @@
 	running     atomic.Int64
 	announceSeq atomic.Uint64 // Seq of the last announcement
 
-	mu     sync.Mutex // guards what follows
+	mu     sync.Mutex // guards the fields below
 	rand   *rand.Rand
 	faults Faults
 }
