--- a/command/entry.go
+++ b/command/entry.go
@@ -13,19 +13,19 @@
 func entryCommand() *cli.Command {
 	return &cli.Command{
 		Name:     "entry",
-		Usage:    "runs an entry: the process that serves callers and operators",
+		Usage:    "runs an entry, the process that serves callers and operators",
 		Flags:    []cli.Flag{configFlag()},
 		Commands: []*cli.Command{endCommand()},
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			if cmd.Args().Present() {
-				return usagef("no command %q of entry; see masticbay entry --help", cmd.Args().First())
+				return usagef("unknown command %q of entry; see masticbay entry --help", cmd.Args().First())
 			}
-			cfg, err := settings[setting.Entry](cmd)
+			cfg, err := readSettings[setting.Entry](cmd)
 			if err != nil {
 				return err
 			}
 			limit := cfg.Limits.StopTimeout.D()
-			log, flush, err := observe("entry", cfg.Common, limit)
+			log, flush, err := setUpTelemetry("entry", cfg.Common, limit)
 			if err != nil {
 				return err
 			}
@@ -34,7 +34,7 @@
 			if err != nil {
 				return err
 			}
-			return serve(e, limit)
+			return runDaemon(e, limit)
 		},
 	}
 }
--- a/command/load.go
+++ b/command/load.go
@@ -20,19 +20,19 @@
 		Flags: []cli.Flag{
 			outputFlag(),
 			&cli.StringFlag{Name: "entries", Value: "http://127.0.0.1:7401", Usage: "`URLS` of entries, separated by commas"},
-			&cli.FloatFlag{Name: "rate", Value: 10, Usage: "jobs a second"},
-			&cli.DurationFlag{Name: "for", Value: 10 * time.Second, Usage: "duration"},
+			&cli.FloatFlag{Name: "rate", Value: 10, Usage: "jobs submitted a second"},
+			&cli.DurationFlag{Name: "for", Value: 10 * time.Second, Usage: "duration of the run"},
 			&cli.IntFlag{Name: "tasks", Value: 1, Usage: "tasks in one job"},
 			&cli.StringFlag{Name: "team", Value: "load", Usage: "team of the jobs"},
 			&cli.StringFlag{Name: "service", Value: "pickup", Usage: "service of the jobs"},
 			&cli.FloatFlag{Name: "idempotent", Value: 0.5, Usage: "share of idempotent jobs"},
-			&cli.FloatFlag{Name: "resubmit", Usage: "share submitted again to another entry while running"},
-			&cli.FloatFlag{Name: "cancel", Usage: "share cancelled while running"},
-			&cli.DurationFlag{Name: "deadline", Usage: "deadline of the jobs; the longest allowed without it"},
-			&cli.FloatFlag{Name: "run-millis", Value: -1, Usage: "run time of a task; below 0 to let targets draw it"},
-			&cli.IntFlag{Name: "max-under-way", Value: 10_000, Usage: "jobs under way; more are skipped"},
-			&cli.IntFlag{Name: "seed", Value: 1, Usage: "seed of the mix"},
-			&cli.StringFlag{Name: "prefix", Usage: "prefix of the keys; a new one without it (the same one reuses keys)"},
+			&cli.FloatFlag{Name: "resubmit", Usage: "share of jobs submitted again, to another entry, while they run"},
+			&cli.FloatFlag{Name: "cancel", Usage: "share of jobs cancelled while they run"},
+			&cli.DurationFlag{Name: "deadline", Usage: "deadline of the jobs; the longest allowed if not set"},
+			&cli.FloatFlag{Name: "run-millis", Value: -1, Usage: "run time of a task; negative for a random time chosen by the target"},
+			&cli.IntFlag{Name: "max-under-way", Value: 10_000, Usage: "most jobs in flight; submissions beyond it are skipped"},
+			&cli.IntFlag{Name: "seed", Value: 1, Usage: "seed of the random choices"},
+			&cli.StringFlag{Name: "prefix", Usage: "prefix of the job keys; generated if not set (a prefix that was used before reuses its keys)"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			prefix := cmd.String("prefix")
@@ -40,7 +40,7 @@
 				prefix = identity.New("load")
 			}
 			rep, err := load.Run(ctx, load.Config{
-				Entries: strings.Split(cmd.String("entries"), ","), Rate: cmd.Float("rate"), For: cmd.Duration("for"),
+				Entries: strings.Split(cmd.String("entries"), ","), Rate: cmd.Float("rate"), Duration: cmd.Duration("for"),
 				Tasks: cmd.Int("tasks"), Team: cmd.String("team"), Service: cmd.String("service"), Prefix: prefix,
 				Idempotent: cmd.Float("idempotent"), Resubmit: cmd.Float("resubmit"), Cancel: cmd.Float("cancel"),
 				Deadline: cmd.Duration("deadline"), RunMillis: cmd.Float("run-millis"),
@@ -49,7 +49,7 @@
 			if err != nil {
 				return usagef("%v", err)
 			}
-			return show(cmd, rep, func(w io.Writer) { printLoad(w, &rep) })
+			return printOutput(cmd, rep, func(w io.Writer) { printLoad(w, &rep) })
 		},
 	}
 }
--- a/command/platform.go
+++ b/command/platform.go
@@ -20,10 +20,10 @@
 func platformCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "platform",
-		Usage: "runs a stand-in of the platform's key-value service, for tests",
+		Usage: "runs a stand-in for the platform's key-value service, for tests",
 		Flags: []cli.Flag{configFlag()},
 		Action: func(_ context.Context, cmd *cli.Command) error {
-			cfg, err := settings[setting.Platform](cmd)
+			cfg, err := readSettings[setting.Platform](cmd)
 			if err != nil {
 				return err
 			}
@@ -36,7 +36,7 @@
 			h := &http.Server{Handler: srv.Handler(), ReadHeaderTimeout: headerTimeout}
 			go func() { _ = h.Serve(ln) }()
 			log.Info().Str("http", cfg.HTTP).Msg("key-value stand-in started")
-			<-signalled()
+			<-stopSignal()
 			return h.Close()
 		},
 	}
--- a/command/run.go
+++ b/command/run.go
@@ -1,4 +1,4 @@
-// Package command is the command line of masticbay: one file for each command.
+// Package command implements the command line of masticbay.
 //
 // # Usage
 //
@@ -28,7 +28,7 @@
 	exitUsage
 )
 
-// usageError is an error of how a command was called.
+// usageError reports a command line with wrong arguments or flags.
 type usageError struct {
 	message string
 }
@@ -55,25 +55,26 @@
 		},
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			if cmd.Args().Present() {
-				return usagef("no command %q; see masticbay help", cmd.Args().First())
+				return usagef("unknown command %q; see masticbay help", cmd.Args().First())
 			}
 			return cli.ShowRootCommandHelp(cmd)
 		},
 	}
-	inheritUsageError(root.Commands, root.OnUsageError)
-	telemetry.NewLog(io.Discard, "error", "cli") // daemons set up their own
+	setUsageErrorHandler(root.Commands, root.OnUsageError)
+	telemetry.NewLog(io.Discard, "error", "cli") // a daemon replaces this log by its own
 	err := root.Run(context.Background(), args)
-	return report(err)
+	return reportError(err)
 }
 
-func inheritUsageError(cmds []*cli.Command, f cli.OnUsageErrorFunc) {
+func setUsageErrorHandler(cmds []*cli.Command, f cli.OnUsageErrorFunc) {
 	for _, c := range cmds {
 		c.OnUsageError = f
-		inheritUsageError(c.Commands, f)
+		setUsageErrorHandler(c.Commands, f)
 	}
 }
 
-func report(err error) int {
+// reportError prints an error, if there is one, and returns the exit code.
+func reportError(err error) int {
 	if err == nil {
 		return exitOK
 	}
@@ -90,13 +91,13 @@
 	return exitFailed
 }
 
-// signalled returns a channel that gets a SIGINT or SIGTERM.
-func signalled() <-chan os.Signal {
+// stopSignal returns a channel that receives SIGINT and SIGTERM.
+func stopSignal() <-chan os.Signal {
 	ch := make(chan os.Signal, 1)
 	signal.Notify(ch, syscall.SIGINT, syscall.SIGTERM)
 	return ch
 }
 
 func configFlag() cli.Flag {
-	return &cli.StringFlag{Name: "config", Usage: "file of settings (`FILE`, TOML); defaults without it"}
+	return &cli.StringFlag{Name: "config", Usage: "settings `FILE` in TOML; the defaults apply if not set"}
 }
--- a/command/site.go
+++ b/command/site.go
@@ -19,16 +19,17 @@
 	"masticbay/web"
 )
 
-// stopReserve is what a stop leaves of the time before the process is killed.
+// stopReserve is the part of the grace period that a stop leaves for flushing logs
+// and traces before the process is killed.
 const stopReserve = 400 * time.Millisecond
 
 func siteCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "site",
-		Usage: "runs a process of masticbay on the users' platform",
+		Usage: "runs an entry or an agent on the users' platform",
 		Commands: []*cli.Command{
-			{Name: "entry", Usage: "serves callers", Flags: []cli.Flag{siteConfigFlag()}, Action: runSiteEntry},
-			{Name: "agent", Usage: "runs tasks on the worker of this VM", Flags: []cli.Flag{siteConfigFlag()}, Action: runSiteAgent},
+			{Name: "entry", Usage: "runs an entry, which serves callers", Flags: []cli.Flag{siteConfigFlag()}, Action: runSiteEntry},
+			{Name: "agent", Usage: "runs an agent, which runs tasks on the worker of this VM", Flags: []cli.Flag{siteConfigFlag()}, Action: runSiteAgent},
 			siteDemoCommand(),
 			siteReplayCommand(),
 		},
@@ -36,19 +37,19 @@
 }
 
 func siteConfigFlag() cli.Flag {
-	return &cli.StringFlag{Name: "config", Usage: "`FILE` of the product's own settings; see masticbay config reference site"}
+	return &cli.StringFlag{Name: "config", Usage: "`FILE` with masticbay's own settings; see masticbay config reference site"}
 }
 
-// siteProcess is what a process on the users' platform is made of.
+// siteProcess holds the settings and the log of a process on the users' platform.
 type siteProcess struct {
-	node *platform.Node
-	cfg  setting.Site
-	log  zerolog.Logger
-	end  func() // writes what is left of logs and traces
+	node  *platform.Node
+	cfg   setting.Site
+	log   zerolog.Logger
+	flush func() // writes buffered log lines and traces
 }
 
-// prepareSite reads the platform's settings and the product's own, and sets up
-// logs and traces.
+// prepareSite reads the platform's settings and masticbay's own, and sets up logs
+// and traces.
 func prepareSite(cmd *cli.Command, role string) (p *siteProcess, err error) {
 	p = &siteProcess{cfg: setting.Default[setting.Site]()}
 	if p.node, err = platform.ReadNode(); err != nil {
@@ -66,25 +67,25 @@
 	}
 	log, flush := siteLog(role, p.cfg.LogLevel)
 	p.log = log
-	p.end = func() {
+	p.flush = func() {
 		ctx, cancel := context.WithTimeout(context.Background(), stopReserve/2)
 		defer cancel()
 		if err := stopTraces(ctx); err != nil {
-			log.Warn().Err(err).Msg("traces not written to the end")
+			log.Warn().Err(err).Msg("some traces were not exported")
 		}
 		flush()
 	}
 	return p, nil
 }
 
-// logRing is how many lines wait for standard output; when it is full, lines
-// are dropped and counted, so that nothing waits for a reader.
-const logRing = 4096
+// maxBufferedLogLines is the number of log lines buffered for standard output.
+// Lines beyond it are dropped and counted, so that a slow reader blocks nothing.
+const maxBufferedLogLines = 4096
 
-// siteLog returns a log to standard output that never blocks, and a function
-// that writes what is left.
+// siteLog returns a log to standard output that never blocks, and a function that
+// writes the buffered lines.
 func siteLog(role, level string) (log zerolog.Logger, flush func()) {
-	w := diode.NewWriter(os.Stdout, logRing, 0, func(missed int) {
+	w := diode.NewWriter(os.Stdout, maxBufferedLogLines, 0, func(missed int) {
 		fmt.Fprintf(os.Stderr, "{\"level\":\"warn\",\"message\":\"log lines dropped\",\"lines\":%d}\n", missed)
 	})
 	return telemetry.NewLog(w, level, role), func() { _ = w.Close() }
@@ -95,22 +96,22 @@
 	if err != nil {
 		return err
 	}
-	defer p.end()
+	defer p.flush()
 	e, err := site.StartEntry(site.EntryOptions{Node: p.node, Log: p.log, Listen: p.cfg.Listen, RequestLines: p.cfg.RequestLines})
 	if err != nil {
 		return err
 	}
 	reloadOnHangup(e, p.log)
-	return serve(e, p.node.Grace-stopReserve)
+	return runDaemon(e, p.node.Grace-stopReserve)
 }
 
-// reloader takes changed settings while it runs.
+// reloader is a process that applies changed settings while it runs.
 type reloader interface {
 	Reload(node *platform.Node)
 }
 
-// reloadOnHangup reads the node's settings again at each SIGHUP. Settings that
-// can not be read leave those in force that are.
+// reloadOnHangup reads the node's settings again at each SIGHUP. If they can't be
+// read, the current settings stay in force.
 func reloadOnHangup(r reloader, log zerolog.Logger) {
 	ch := make(chan os.Signal, 1)
 	signal.Notify(ch, syscall.SIGHUP)
@@ -132,11 +133,11 @@
 	if err != nil {
 		return err
 	}
-	defer p.end()
+	defer p.flush()
 	a, err := site.StartAgent(site.AgentOptions{Node: p.node, Log: p.log, Listen: p.cfg.Listen, RequestLines: p.cfg.RequestLines})
 	if err != nil {
 		return err
 	}
 	reloadOnHangup(a, p.log)
-	return serve(a, p.node.Grace-stopReserve)
+	return runDaemon(a, p.node.Grace-stopReserve)
 }
--- a/command/table.go
+++ b/command/table.go
@@ -28,7 +28,7 @@
 }
 
 func printRows(w io.Writer, rows []table.Row) {
-	columns(w, func(w io.Writer) {
+	printColumns(w, func(w io.Writer) {
 		_, _ = fmt.Fprintln(w, "KIND\tNAME\tWEIGHT\tLIMIT\tDRAIN\tREVISION\tEDITED\tAUTHOR")
 		for _, r := range rows {
 			_, _ = fmt.Fprintf(w, "%s\t%s\t%g\t%d\t%t\t%d\t%s\t%s\n",
@@ -40,19 +40,19 @@
 func tableListCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "list",
-		Usage: "lists the rows that are in force at an entry",
+		Usage: "lists the rows in force at an entry",
 		Flags: []cli.Flag{entryFlag(), outputFlag()},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			rows, err := call[[]table.Row](ctx, cmd, http.MethodGet, "/v1/table", nil)
+			rows, err := callEntry[[]table.Row](ctx, cmd, http.MethodGet, "/v1/table", nil)
 			if err != nil {
 				return err
 			}
-			return show(cmd, rows, func(w io.Writer) { printRows(w, rows) })
+			return printOutput(cmd, rows, func(w io.Writer) { printRows(w, rows) })
 		},
 	}
 }
 
-// rowPath returns the path of the row that the arguments KIND NAME name.
+// rowPath returns the URL path of the row that the arguments KIND and NAME name.
 func rowPath(cmd *cli.Command, base string) (string, error) {
 	if cmd.Args().Len() != 2 {
 		return "", usagef("want KIND NAME, got %d arguments", cmd.Args().Len())
@@ -71,11 +71,11 @@
 			if err != nil {
 				return err
 			}
-			row, err := call[table.Row](ctx, cmd, http.MethodGet, path, nil)
+			row, err := callEntry[table.Row](ctx, cmd, http.MethodGet, path, nil)
 			if err != nil {
 				return err
 			}
-			return show(cmd, row, func(w io.Writer) { printRows(w, []table.Row{row}) })
+			return printOutput(cmd, row, func(w io.Writer) { printRows(w, []table.Row{row}) })
 		},
 	}
 }
@@ -83,15 +83,15 @@
 func tableSetCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "set",
-		Usage:     "changes one row, or makes it",
+		Usage:     "changes or creates one row",
 		ArgsUsage: "KIND NAME",
 		Flags: []cli.Flag{
 			entryFlag(), outputFlag(), waitFlag(),
-			&cli.FloatFlag{Name: "weight", Usage: "share against rows of the same kind"},
-			&cli.IntFlag{Name: "limit", Usage: "concurrent tasks; 0 for no limit, -1 for none at all"},
-			&cli.BoolFlag{Name: "drain", Usage: "targets: start nothing new"},
+			&cli.FloatFlag{Name: "weight", Usage: "share relative to other rows of the same kind"},
+			&cli.IntFlag{Name: "limit", Usage: "most concurrent tasks; 0 for no limit, -1 to allow none"},
+			&cli.BoolFlag{Name: "drain", Usage: "for targets: start no new tasks"},
 			&cli.BoolFlag{Name: "remove", Usage: "remove the row"},
-			&cli.Uint64Flag{Name: "base", Usage: "`REVISION` that the edit is based on; the present one without it"},
+			&cli.Uint64Flag{Name: "base", Usage: "`REVISION` on which the edit is based; the current one if not set"},
 			authorFlag(),
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
@@ -99,7 +99,7 @@
 			if err != nil {
 				return err
 			}
-			ed, err := flaggedEdit(ctx, cmd, path)
+			ed, err := editFromFlags(ctx, cmd, path)
 			if err != nil {
 				return err
 			}
@@ -109,16 +109,16 @@
 }
 
 func authorFlag() cli.Flag {
-	return &cli.StringFlag{Name: "author", Sources: cli.EnvVars("USER"), Usage: "who edits"}
+	return &cli.StringFlag{Name: "author", Sources: cli.EnvVars("USER"), Usage: "name of the person who makes the edit"}
 }
 
 func waitFlag() cli.Flag {
-	return &cli.BoolFlag{Name: "wait", Usage: "wait until the change is in force at every known process"}
+	return &cli.BoolFlag{Name: "wait", Usage: "wait until the change is in force at all known processes"}
 }
 
-// flaggedEdit returns the present row as an edit, changed as the flags say.
-func flaggedEdit(ctx context.Context, cmd *cli.Command, path string) (ed entry.RowEdit, err error) {
-	row, err := call[table.Row](ctx, cmd, http.MethodGet, path, nil)
+// editFromFlags returns an edit of the current row that applies the flags.
+func editFromFlags(ctx context.Context, cmd *cli.Command, path string) (ed entry.RowEdit, err error) {
+	row, err := callEntry[table.Row](ctx, cmd, http.MethodGet, path, nil)
 	if p, ok := errors.AsType[*problemError](err); ok && p.status == http.StatusNotFound {
 		row, err = table.Row{Weight: 1}, nil
 	}
@@ -142,44 +142,45 @@
 	return ed, nil
 }
 
-// putRow writes an edit, prints the row, and waits if asked to.
+// putRow writes an edit and prints the row. With --wait it waits until the row is
+// in force.
 func putRow(ctx context.Context, cmd *cli.Command, path string, ed entry.RowEdit) error {
-	row, err := call[table.Row](ctx, cmd, http.MethodPut, path, ed)
+	row, err := callEntry[table.Row](ctx, cmd, http.MethodPut, path, ed)
 	if p, ok := errors.AsType[*problemError](err); ok && p.Current != nil {
 		printRows(os.Stderr, []table.Row{*p.Current})
 	}
 	if err != nil {
 		return err
 	}
-	if err := show(cmd, row, func(w io.Writer) { printRows(w, []table.Row{row}) }); err != nil {
+	if err := printOutput(cmd, row, func(w io.Writer) { printRows(w, []table.Row{row}) }); err != nil {
 		return err
 	}
 	if !cmd.Bool("wait") {
 		return nil
 	}
-	return awaitForce(ctx, cmd, row.Revision)
+	return awaitInForce(ctx, cmd, row.Revision)
 }
 
 const (
-	forcePoll  = 200 * time.Millisecond
-	forceTries = 50
+	inForceInterval = 200 * time.Millisecond
+	maxInForcePolls = 50
 )
 
-// awaitForce reports on how many processes a revision is in force until it is
-// everywhere.
-func awaitForce(ctx context.Context, cmd *cli.Command, rev uint64) error {
+// awaitInForce waits until a revision is in force at all known processes, and
+// prints the progress.
+func awaitInForce(ctx context.Context, cmd *cli.Command, rev uint64) error {
 	path := fmt.Sprintf("/v1/force?revision=%d", rev)
 	var rep entry.ForceReply
-	for range forceTries {
+	for range maxInForcePolls {
 		var err error
-		if rep, err = call[entry.ForceReply](ctx, cmd, http.MethodGet, path, nil); err != nil {
+		if rep, err = callEntry[entry.ForceReply](ctx, cmd, http.MethodGet, path, nil); err != nil {
 			return err
 		}
 		fmt.Fprintf(os.Stderr, "revision %d is in force at %d of %d processes\n", rev, rep.InForce, rep.Known)
 		if rep.InForce == rep.Known {
 			return nil
 		}
-		time.Sleep(forcePoll)
+		time.Sleep(inForceInterval)
 	}
 	return errors.Errorf("revision %d is not in force at %v", rev, rep.Missing)
 }
@@ -187,7 +188,7 @@
 func tableHistoryCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "history",
-		Usage:     "lists the earlier states of a row, the newest first",
+		Usage:     "lists the earlier revisions of a row, newest first",
 		ArgsUsage: "KIND NAME",
 		Flags:     []cli.Flag{entryFlag(), outputFlag()},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
@@ -195,19 +196,19 @@
 			if err != nil {
 				return err
 			}
-			rows, err := call[[]table.Row](ctx, cmd, http.MethodGet, path, nil)
+			rows, err := callEntry[[]table.Row](ctx, cmd, http.MethodGet, path, nil)
 			if err != nil {
 				return err
 			}
-			return show(cmd, rows, func(w io.Writer) { printRows(w, rows) })
+			return printOutput(cmd, rows, func(w io.Writer) { printRows(w, rows) })
 		},
 	}
 }
 
-func drainCommand(name string, on bool) *cli.Command {
-	usage := "gives a target new work again"
-	if on {
-		usage = "keeps new work from a target; what runs there goes on"
+func drainCommand(name string, drain bool) *cli.Command {
+	usage := "allows new tasks on a target again"
+	if drain {
+		usage = "starts no new tasks on a target; running tasks continue"
 	}
 	return &cli.Command{
 		Name:      name,
@@ -219,11 +220,11 @@
 				return usagef("want one TARGET, got %d arguments", cmd.Args().Len())
 			}
 			path := "/v1/table/target/" + url.PathEscape(cmd.Args().First())
-			ed, err := flaggedEdit(ctx, cmd, path)
+			ed, err := editFromFlags(ctx, cmd, path)
 			if err != nil {
 				return err
 			}
-			ed.Drain = on
+			ed.Drain = drain
 			return putRow(ctx, cmd, path, ed)
 		},
 	}
--- a/command/spreadsheet.go
+++ b/command/table_csv.go
@@ -22,7 +22,7 @@
 		Usage: "writes the table as CSV to standard output",
 		Flags: []cli.Flag{entryFlag()},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			rows, err := call[[]table.Row](ctx, cmd, http.MethodGet, "/v1/table", nil)
+			rows, err := callEntry[[]table.Row](ctx, cmd, http.MethodGet, "/v1/table", nil)
 			if err != nil {
 				return err
 			}
@@ -34,7 +34,7 @@
 func tableImportCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "import",
-		Usage:     "reads CSV and edits the rows that differ; a conflict leaves its row as it is",
+		Usage:     "imports rows from CSV and edits those that differ; a row with a conflict stays unchanged",
 		ArgsUsage: "FILE",
 		Flags:     []cli.Flag{entryFlag(), outputFlag(), waitFlag(), authorFlag()},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
@@ -60,7 +60,7 @@
 	if err != nil {
 		return usagef("%v", err)
 	}
-	before, err := call[[]table.Row](ctx, cmd, http.MethodGet, "/v1/table", nil)
+	before, err := callEntry[[]table.Row](ctx, cmd, http.MethodGet, "/v1/table", nil)
 	if err != nil {
 		return err
 	}
@@ -84,14 +84,14 @@
 func tableEditCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "edit",
-		Usage:     "writes the table as CSV to FILE, waits while you edit it, and imports it",
+		Usage:     "writes the table as CSV to FILE, waits while you edit it and imports it",
 		ArgsUsage: "FILE",
 		Flags:     []cli.Flag{entryFlag(), outputFlag(), waitFlag(), authorFlag()},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			if cmd.Args().Len() != 1 {
 				return usagef("want one FILE, got %d arguments", cmd.Args().Len())
 			}
-			rows, err := call[[]table.Row](ctx, cmd, http.MethodGet, "/v1/table", nil)
+			rows, err := callEntry[[]table.Row](ctx, cmd, http.MethodGet, "/v1/table", nil)
 			if err != nil {
 				return err
 			}
@@ -108,7 +108,7 @@
 	}
 }
 
-// writeRows writes rows as CSV to a file that must not exist yet.
+// writeRows writes rows as CSV to a new file. It fails if the file exists.
 func writeRows(path string, rows []table.Row) (err error) {
 	defer func() { err = errors.Annotatef(err, "writing %s", path) }()
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -1,12 +1,12 @@
 // Package demo runs a small installation in one process on loopback and checks
-// its promises against the targets' own records.
+// the guarantees to callers against the journals of the targets.
 //
 // # Model
 //
-// A Fleet is a key-value stand-in, entries, agents and stand-in targets, each
-// with real listeners, that can be killed and replaced. Run submits jobs over
-// HTTP while it kills and replaces an agent and an entry, resubmits what a
-// caller would believe lost, and counts the wrongs.
+// A Fleet consists of a key-value stand-in, entries, agents and stand-in targets,
+// each with real listeners; entries and agents can be killed and replaced. Run
+// submits jobs over HTTP while it kills and replaces an agent and an entry,
+// resubmits jobs that got no answer, and counts violations of the guarantees.
 //
 // # Usage
 //
@@ -30,16 +30,16 @@
 	"masticbay/load"
 )
 
-// Config bounds a run.
+// Config configures a run.
 type Config struct {
-	Jobs int
-	For  time.Duration // submissions are spread over this time
-	Seed int
-	Log  io.Writer // nil to discard
+	Jobs           int
+	SubmitDuration time.Duration // time over which the submissions are spread
+	Seed           int
+	Log            io.Writer // nil to discard
 }
 
-// Report is the outcome of a run. StartedTwice and NotRunButStarted are counts
-// of wrongs, taken from the targets' journals.
+// Report is the outcome of a run. StartedTwice, NotRunButStarted and
+// PartialAnswers count violations of the guarantees, as Verdict does.
 type Report struct {
 	Jobs             int     `json:"jobs"`
 	Complete         int     `json:"complete"`
@@ -55,28 +55,28 @@
 	MessagesPerTask  float64 `json:"messagesPerTask"`
 	Seconds          float64 `json:"seconds"`
 
-	Requests map[string]uint64 `json:"requests"` // between processes, by method
+	Requests map[string]uint64 `json:"requests"` // requests between processes, by method
 }
 
 const (
-	demoEntries   = 2
-	demoAgents    = 4
-	callers       = 16
-	longestJob    = 24 // tasks
-	replaceAfter  = 300 * time.Millisecond
-	startTimeout  = 10 * time.Second
-	idempotentOne = 3 // one job in this many is idempotent
+	demoEntries     = 2
+	demoAgents      = 4
+	callers         = 16
+	maxJobTasks     = 24 // tasks
+	replaceAfter    = 300 * time.Millisecond
+	startTimeout    = 10 * time.Second
+	idempotentEvery = 3 // one job in this many is idempotent
 )
 
 // Run runs the demonstration. It returns an error if the installation did not
-// come up; wrongs are in the report.
+// start; violations are in the report.
 func Run(ctx context.Context, cfg Config) (rep Report, err error) {
 	defer func() { err = errors.Annotate(err, "running the demonstration") }()
 	log := zerolog.Nop()
 	if cfg.Log != nil {
 		log = zerolog.New(cfg.Log).With().Timestamp().Logger()
 	}
-	begin := time.Now()
+	start := time.Now()
 	f, err := StartFleet(FleetConfig{Entries: demoEntries, Agents: demoAgents, Seed: cfg.Seed, Log: log})
 	if err != nil {
 		return rep, err
@@ -88,17 +88,17 @@
 	r := &runner{fleet: f, cfg: cfg, rand: rand.New(rand.NewPCG(uint64(cfg.Seed), 2))}
 	r.run(ctx)
 	rep = r.report()
-	rep.Seconds = time.Since(begin).Seconds()
+	rep.Seconds = time.Since(start).Seconds()
 	return rep, nil
 }
 
-// runner submits the jobs of a run.
+// runner submits the jobs of a run and collects the answers.
 type runner struct {
 	fleet *Fleet
 	cfg   Config
 	next  atomic.Int64
 
-	mu          sync.Mutex // guards what follows
+	mu          sync.Mutex // guards the fields below
 	rand        *rand.Rand
 	answers     []job.Answer
 	unanswered  int
@@ -108,26 +108,26 @@
 func (r *runner) run(ctx context.Context) {
 	var wg sync.WaitGroup
 	for range callers {
-		wg.Go(func() { r.caller(ctx) })
+		wg.Go(func() { r.runCaller(ctx) })
 	}
-	wg.Go(func() { r.disturb(ctx) })
+	wg.Go(func() { r.injectFailures(ctx) })
 	wg.Wait()
 }
 
-// disturb kills and replaces an agent after a fifth and an entry after
-// three quarters of the jobs.
-func (r *runner) disturb(ctx context.Context) {
-	r.await(ctx, r.cfg.Jobs/5)
+// injectFailures kills and replaces an agent after a fifth of the jobs has been
+// submitted, and an entry after three quarters.
+func (r *runner) injectFailures(ctx context.Context) {
+	r.awaitSubmitted(ctx, r.cfg.Jobs/5)
 	r.fleet.KillAgent(0)
 	pause(ctx, replaceAfter)
 	_ = r.fleet.StartAgent(0)
-	r.await(ctx, 3*r.cfg.Jobs/4)
+	r.awaitSubmitted(ctx, 3*r.cfg.Jobs/4)
 	r.fleet.KillEntry(0)
 	pause(ctx, replaceAfter)
 	_ = r.fleet.StartEntry(0)
 }
 
-func (r *runner) await(ctx context.Context, jobs int) {
+func (r *runner) awaitSubmitted(ctx context.Context, jobs int) {
 	for int(r.next.Load()) < jobs && ctx.Err() == nil {
 		pause(ctx, time.Millisecond)
 	}
@@ -142,35 +142,35 @@
 	}
 }
 
-func (r *runner) caller(ctx context.Context) {
-	begin := time.Now()
+func (r *runner) runCaller(ctx context.Context) {
+	start := time.Now()
 	for ctx.Err() == nil {
 		n := int(r.next.Add(1)) - 1
 		if n >= r.cfg.Jobs {
 			return
 		}
-		due := begin.Add(r.cfg.For * time.Duration(n) / time.Duration(r.cfg.Jobs))
+		due := start.Add(r.cfg.SubmitDuration * time.Duration(n) / time.Duration(r.cfg.Jobs))
 		pause(ctx, time.Until(due))
 		r.submit(ctx, n)
 	}
 }
 
-// submit runs one job, resubmitting it to the other entry while its caller
-// has no answer.
+// submit submits job n, and resubmits it to the entries in turn until it is
+// answered or maxTries is reached.
 func (r *runner) submit(ctx context.Context, n int) {
 	req := r.request(n)
 	for try := range maxTries {
 		e := (n + try) % demoEntries
 		ans, err := load.Submit(ctx, r.fleet.EntryURL(e), &req)
 		if err == nil {
-			r.add(ans)
+			r.addAnswer(ans)
 			return
 		}
 		req.Resubmission = true
 		r.mu.Lock()
 		r.resubmitted++
 		r.mu.Unlock()
-		pause(ctx, retryPause)
+		pause(ctx, retryInterval)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -178,8 +178,8 @@
 }
 
 const (
-	maxTries   = 8
-	retryPause = 100 * time.Millisecond
+	maxTries      = 8
+	retryInterval = 100 * time.Millisecond
 )
 
 func (r *runner) request(n int) entry.SubmitRequest {
@@ -189,13 +189,13 @@
 		Key:        "demo-" + strconv.Itoa(n),
 		Team:       "laval",
 		Service:    Service,
-		Idempotent: n%idempotentOne == 0,
-		Tasks:      make([]entry.TaskRequest, 1+r.rand.IntN(longestJob)),
+		Idempotent: n%idempotentEvery == 0,
+		Tasks:      make([]entry.TaskRequest, 1+r.rand.IntN(maxJobTasks)),
 	}
 	return req
 }
 
-func (r *runner) add(ans job.Answer) {
+func (r *runner) addAnswer(ans job.Answer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.answers = append(r.answers, ans)
--- a/load/run.go
+++ b/load/run.go
@@ -14,21 +14,21 @@
 	"masticbay/job"
 )
 
-// Config describes a run.
+// Config configures a run.
 type Config struct {
-	Entries     []string // URLs
+	Entries     []string // URLs of the entries
 	Rate        float64  // jobs a second
-	For         time.Duration
+	Duration    time.Duration
 	Tasks       int // in one job
 	Team        string
 	Service     string
-	Prefix      string  // of the keys; must be new in each run
-	Idempotent  float64 // share of the jobs
-	Resubmit    float64 // share that is submitted again, to another entry, while it runs
-	Cancel      float64 // share that is cancelled while it runs
+	Prefix      string  // of the job keys; must differ between runs
+	Idempotent  float64 // share of jobs that are idempotent
+	Resubmit    float64 // share of jobs that are submitted again, to another entry, while they run
+	Cancel      float64 // share of jobs that are cancelled while they run
 	Deadline    time.Duration
-	RunMillis   float64 // run time of a task; below 0 to let the target draw it
-	MaxUnderWay int     // jobs; submissions beyond it are counted as skipped
+	RunMillis   float64 // run time of a task; negative for a random time chosen by the target
+	MaxUnderWay int     // limit of jobs in flight; submissions beyond it are counted as skipped
 	Seed        int
 }
 
@@ -39,9 +39,9 @@
 	Complete    int     `json:"complete"`
 	Failed      int     `json:"failed"`
 	Refused     int     `json:"refused"`
-	Lost        int     `json:"lost"` // no answer
+	Lost        int     `json:"lost"` // jobs without an answer
 	Resubmitted int     `json:"resubmitted"`
-	Differing   int     `json:"differing"` // resubmissions with another answer
+	Differing   int     `json:"differing"` // resubmissions whose answer has another status
 	Cancelled   int     `json:"cancelled"`
 	TasksDone   int     `json:"tasksDone"`
 	NotRun      int     `json:"notRun"`
@@ -66,41 +66,42 @@
 		return rep, errors.New("load needs entries, a rate above 0 and at least one task in a job")
 	}
 	r := &runner{
-		cfg:  cfg,
-		hist: hdrhistogram.New(1, histogramMax, histogramDigits),
-		room: make(chan struct{}, cfg.MaxUnderWay),
-		rand: rand.New(rand.NewPCG(uint64(cfg.Seed), 3)),
+		cfg:      cfg,
+		hist:     hdrhistogram.New(1, histogramMax, histogramDigits),
+		inFlight: make(chan struct{}, cfg.MaxUnderWay),
+		rand:     rand.New(rand.NewPCG(uint64(cfg.Seed), 3)),
 	}
-	begin := time.Now()
-	r.loop(ctx, begin)
+	start := time.Now()
+	r.submitLoop(ctx, start)
 	r.jobs.Wait()
-	return r.report(time.Since(begin)), nil
+	return r.finalReport(time.Since(start)), nil
 }
 
 type runner struct {
-	cfg  Config
-	room chan struct{}
-	rand *rand.Rand // belongs to the loop
-	jobs sync.WaitGroup
-
-	mu   sync.Mutex // guards what follows
-	hist *hdrhistogram.Histogram
-	rep  Report
+	cfg      Config
+	inFlight chan struct{}
+	rand     *rand.Rand // used by submitLoop only
+	jobs     sync.WaitGroup
+
+	mu     sync.Mutex // guards the fields below
+	hist   *hdrhistogram.Histogram
+	report Report
 }
 
-// plan is what happens to one job.
-type plan struct {
+// jobPlan holds the request of one job, when and where it is submitted, and
+// whether it is resubmitted or cancelled.
+type jobPlan struct {
 	due                          time.Time
 	entry                        int
 	req                          entry.SubmitRequest
 	resubmit, cancel, idempotent bool
 }
 
-func (r *runner) loop(ctx context.Context, begin time.Time) {
-	total := int(r.cfg.Rate * r.cfg.For.Seconds())
+func (r *runner) submitLoop(ctx context.Context, start time.Time) {
+	total := int(r.cfg.Rate * r.cfg.Duration.Seconds())
 	for n := range total {
-		p := r.plan(n)
-		p.due = begin.Add(time.Duration(float64(n) / r.cfg.Rate * float64(time.Second)))
+		p := r.planJob(n)
+		p.due = start.Add(time.Duration(float64(n) / r.cfg.Rate * float64(time.Second)))
 		if wait := time.Until(p.due); wait > 0 {
 			time.Sleep(wait)
 		}
@@ -108,19 +109,19 @@
 			return
 		}
 		select {
-		case r.room <- struct{}{}:
+		case r.inFlight <- struct{}{}:
 			r.jobs.Go(func() {
-				r.one(ctx, p)
-				<-r.room
+				r.runJob(ctx, p)
+				<-r.inFlight
 			})
 		default:
-			r.count(func(rep *Report) { rep.Skipped++ })
+			r.updateReport(func(rep *Report) { rep.Skipped++ })
 		}
 	}
 }
 
-func (r *runner) plan(n int) plan {
-	p := plan{
+func (r *runner) planJob(n int) jobPlan {
+	p := jobPlan{
 		entry:      r.rand.IntN(len(r.cfg.Entries)),
 		idempotent: r.rand.Float64() < r.cfg.Idempotent,
 		resubmit:   r.rand.Float64() < r.cfg.Resubmit,
@@ -140,28 +141,29 @@
 	return p
 }
 
-// one runs one job, counting from the time it was due.
-func (r *runner) one(ctx context.Context, p plan) {
-	r.count(func(rep *Report) { rep.Submitted++ })
-	var again sync.WaitGroup
-	var second job.Answer
+// runJob submits one job and waits for its answer. The response time counts from
+// the time when the job was due.
+func (r *runner) runJob(ctx context.Context, p jobPlan) {
+	r.updateReport(func(rep *Report) { rep.Submitted++ })
+	var followUps sync.WaitGroup
+	var resubmitted job.Answer
 	if p.resubmit {
-		again.Go(func() { second = r.resubmit(ctx, p) })
+		followUps.Go(func() { resubmitted = r.resubmit(ctx, p) })
 	}
 	if p.cancel {
-		again.Go(func() { r.cancel(ctx, p) })
+		followUps.Go(func() { r.cancel(ctx, p) })
 	}
 	ans, err := Submit(ctx, r.cfg.Entries[p.entry], &p.req)
-	took := time.Since(p.due)
-	again.Wait()
-	r.count(func(rep *Report) {
+	responseTime := time.Since(p.due)
+	followUps.Wait()
+	r.updateReport(func(rep *Report) {
 		if err != nil {
 			rep.countError(err)
 			return
 		}
 		rep.countAnswer(&ans)
-		_ = r.hist.RecordValue(took.Microseconds())
-		if second.Status != "" && second.Status != ans.Status {
+		_ = r.hist.RecordValue(responseTime.Microseconds())
+		if resubmitted.Status != "" && resubmitted.Status != ans.Status {
 			rep.Differing++
 		}
 	})
@@ -186,15 +188,15 @@
 	rep.Unknown += ans.Counts.Unknown
 }
 
-// meanwhile is how long after a submission its resubmission or cancellation
-// follows.
-const meanwhile = 20 * time.Millisecond
+// followUpDelay is the time between the submission of a job and its resubmission
+// or cancellation.
+const followUpDelay = 20 * time.Millisecond
 
-func (r *runner) resubmit(ctx context.Context, p plan) job.Answer {
-	time.Sleep(meanwhile)
+func (r *runner) resubmit(ctx context.Context, p jobPlan) job.Answer {
+	time.Sleep(followUpDelay)
 	req := p.req
 	req.Resubmission = true
-	r.count(func(rep *Report) { rep.Resubmitted++ })
+	r.updateReport(func(rep *Report) { rep.Resubmitted++ })
 	ans, err := Submit(ctx, r.cfg.Entries[(p.entry+1)%len(r.cfg.Entries)], &req)
 	if err != nil {
 		return job.Answer{}
@@ -202,22 +204,22 @@
 	return ans
 }
 
-func (r *runner) cancel(ctx context.Context, p plan) {
-	time.Sleep(meanwhile)
+func (r *runner) cancel(ctx context.Context, p jobPlan) {
+	time.Sleep(followUpDelay)
 	if Cancel(ctx, r.cfg.Entries[p.entry], &p.req) == nil {
-		r.count(func(rep *Report) { rep.Cancelled++ })
+		r.updateReport(func(rep *Report) { rep.Cancelled++ })
 	}
 }
 
-func (r *runner) count(f func(*Report)) {
+func (r *runner) updateReport(f func(*Report)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	f(&r.rep)
+	f(&r.report)
 }
 
-func (r *runner) report(took time.Duration) Report {
-	rep := r.rep
-	rep.Seconds = took.Seconds()
+func (r *runner) finalReport(elapsed time.Duration) Report {
+	rep := r.report
+	rep.Seconds = elapsed.Seconds()
 	rep.JobsPerSec = float64(rep.Complete) / rep.Seconds
 	rep.TasksPerSec = float64(rep.TasksDone) / rep.Seconds
 	rep.Mean = r.hist.Mean() / 1000
--- a/target/server.go
+++ b/target/server.go
@@ -20,44 +20,45 @@
 	"masticbay/identity"
 )
 
-// Config describes a stand-in.
+// Config configures a stand-in.
 type Config struct {
-	Address  string // where it listens
-	AgentURL string // of the agent beside it; empty to announce to nobody
-	Name     string
-	Service  string
-	Slots    int
-	Median   time.Duration // of the run times
-	Sigma    float64       // of the run times' log-normal distribution
-	Speed    float64       // 1 if zero
-	Seed     int
-	Announce time.Duration // pause between announcements
-	Journal  *Journal
-}
-
-// Faults are the switches of a stand-in.
+	Address          string // listen address
+	AgentURL         string // of the agent beside it; empty to send no announcements
+	Name             string
+	Service          string
+	Slots            int
+	Median           time.Duration // of the run times
+	Sigma            float64       // of the run times' log-normal distribution
+	Speed            float64       // divides run times; 0 means 1
+	Seed             int
+	AnnounceInterval time.Duration
+	Journal          *Journal
+}
+
+// Faults selects the faults that a stand-in injects.
 type Faults struct {
-	Slow    float64 `json:"slow"`    // factor on run times; 0 for none
-	FailAll bool    `json:"failAll"` // fail every task at once
+	Slow    float64 `json:"slow"`    // multiplies run times; 0 means 1
+	FailAll bool    `json:"failAll"` // fail every task immediately
 	Hang    bool    `json:"hang"`    // accept tasks and never answer
 }
 
-// Server is a stand-in of a target.
+// Server is a stand-in for a target.
 type Server struct {
-	cfg       Config
-	life      string
-	http      *http.Server
-	cancel    context.CancelFunc
-	done      sync.WaitGroup
-	running   atomic.Int64
-	announced atomic.Uint64 // number of the last announcement
-
-	mu     sync.Mutex // guards what follows
+	cfg         Config
+	incarnation string
+	http        *http.Server
+	cancel      context.CancelFunc
+	loops       sync.WaitGroup
+	running     atomic.Int64
+	announceSeq atomic.Uint64 // Seq of the last announcement
+
+	mu     sync.Mutex // guards the fields below
 	rand   *rand.Rand
 	faults Faults
 }
 
-// Start listens and announces the target until Close or Kill.
+// Start starts a stand-in, which serves tasks and sends announcements until Close
+// or Kill.
 func Start(cfg Config) (s *Server, err error) {
 	defer func() { err = errors.Annotatef(err, "starting target %s", cfg.Name) }()
 	ln, err := net.Listen("tcp", cfg.Address)
@@ -69,55 +70,55 @@
 		cfg.Journal = &Journal{}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	s = &Server{cfg: cfg, life: identity.New("target"), cancel: cancel, rand: rand.New(rand.NewPCG(uint64(cfg.Seed), 1))}
+	s = &Server{cfg: cfg, incarnation: identity.New("target"), cancel: cancel, rand: rand.New(rand.NewPCG(uint64(cfg.Seed), 1))}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+RunPath, s.run)
 	mux.HandleFunc("PUT /faults", s.putFaults)
 	mux.HandleFunc("GET /journal", s.getJournal)
-	s.http = &http.Server{Handler: mux, ReadHeaderTimeout: readTimeout}
+	s.http = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
 	go func() { _ = s.http.Serve(ln) }()
 	if cfg.AgentURL != "" {
-		s.done.Go(func() { s.announceDuty(ctx) })
+		s.loops.Go(func() { s.announceLoop(ctx) })
 	}
 	return s, nil
 }
 
-const readTimeout = 10 * time.Second
+const headerTimeout = 10 * time.Second
 
-// Address returns where the target listens.
+// Address returns the address at which the target listens.
 func (s *Server) Address() string { return s.cfg.Address }
 
 // Journal returns the record of starts.
 func (s *Server) Journal() *Journal { return s.cfg.Journal }
 
-// SetFaults replaces the switches.
+// SetFaults replaces the injected faults.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Close announces the end, waits for running tasks and stops.
+// Close announces that the target leaves, waits for running tasks and stops.
 func (s *Server) Close(ctx context.Context) error {
 	s.cancel()
-	s.done.Wait()
+	s.loops.Wait()
 	if s.cfg.AgentURL != "" {
-		_ = s.announce(ctx, true)
+		_ = s.sendAnnouncement(ctx, true)
 	}
 	return s.http.Shutdown(ctx)
 }
 
-// Kill stops at once.
+// Kill stops immediately, without an announcement.
 func (s *Server) Kill() {
 	s.cancel()
 	_ = s.http.Close()
 }
 
-func (s *Server) announceDuty(ctx context.Context) {
-	tick := time.NewTicker(s.cfg.Announce)
+func (s *Server) announceLoop(ctx context.Context) {
+	tick := time.NewTicker(s.cfg.AnnounceInterval)
 	defer tick.Stop()
 	for {
-		_ = s.announce(ctx, false)
+		_ = s.sendAnnouncement(ctx, false)
 		select {
 		case <-ctx.Done():
 			return
@@ -126,11 +127,11 @@
 	}
 }
 
-func (s *Server) announce(ctx context.Context, leaving bool) (err error) {
-	defer func() { err = errors.Annotate(err, "announcing the target") }()
+func (s *Server) sendAnnouncement(ctx context.Context, leaving bool) (err error) {
+	defer func() { err = errors.Annotate(err, "sending an announcement") }()
 	body, err := json.Marshal(Announcement{
 		Name: s.cfg.Name, Service: s.cfg.Service, Address: s.cfg.Address,
-		Slots: s.cfg.Slots, Leaving: leaving, Life: s.life, Seq: s.announced.Add(1),
+		Slots: s.cfg.Slots, Leaving: leaving, Life: s.incarnation, Seq: s.announceSeq.Add(1),
 	})
 	if err != nil {
 		return err
@@ -161,7 +162,7 @@
 	s.cfg.Journal.Record(Started{Key: r.Header.Get(KeyHeader), Rerun: r.Header.Get(RerunHeader), Index: index})
 	s.running.Add(1)
 	defer s.running.Add(-1)
-	took, faults := s.plan(payload)
+	runTime, faults := s.drawRunTime(payload)
 	if faults.FailAll {
 		http.Error(w, "this target fails every task", http.StatusInternalServerError)
 		return
@@ -170,39 +171,40 @@
 		<-r.Context().Done()
 		return
 	}
-	time.Sleep(took)
+	time.Sleep(runTime)
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(Result{Target: s.cfg.Name, Index: index, TookMillis: took.Milliseconds()})
+	_ = json.NewEncoder(w).Encode(Result{Target: s.cfg.Name, Index: index, TookMillis: runTime.Milliseconds()})
 }
 
-// Result is what the stand-in answers.
+// Result is the result of a task that the stand-in ran.
 type Result struct {
 	Target     string `json:"target"`
 	Index      int    `json:"index"`
 	TookMillis int64  `json:"tookMillis"`
 }
 
-// runPlan is the part of a payload that the stand-in understands.
-type runPlan struct {
+// payloadOptions is the part of a payload that the stand-in evaluates.
+type payloadOptions struct {
 	RunMillis *float64 `json:"runMillis"` // the run time at speed 1
 }
 
-// plan draws the run time of a task, unless its payload names one.
-func (s *Server) plan(payload []byte) (time.Duration, Faults) {
+// drawRunTime returns a random run time for a task, or the one in its payload,
+// adjusted for speed and faults.
+func (s *Server) drawRunTime(payload []byte) (time.Duration, Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	took := float64(s.cfg.Median) * math.Exp(s.cfg.Sigma*s.rand.NormFloat64())
-	var p runPlan
+	runTime := float64(s.cfg.Median) * math.Exp(s.cfg.Sigma*s.rand.NormFloat64())
+	var p payloadOptions
 	if json.Unmarshal(payload, &p) == nil && p.RunMillis != nil {
-		took = *p.RunMillis * float64(time.Millisecond)
+		runTime = *p.RunMillis * float64(time.Millisecond)
 	}
 	if s.cfg.Speed > 0 {
-		took /= s.cfg.Speed
+		runTime /= s.cfg.Speed
 	}
 	if s.faults.Slow > 0 {
-		took *= s.faults.Slow
+		runTime *= s.faults.Slow
 	}
-	return time.Duration(took), s.faults
+	return time.Duration(runTime), s.faults
 }
 
 func (s *Server) putFaults(w http.ResponseWriter, r *http.Request) {
