--- a/failure/conn_test.go
+++ b/failure/conn_test.go
@@ -16,8 +16,8 @@
 func (c *conn) Write(p []byte) (int, error) { return c.out.write(p) }
 
 func (c *conn) Close() error {
-	c.in.drop()
-	c.out.end()
+	c.in.closeRead()
+	c.out.closeWrite()
 	return nil
 }
 
@@ -29,47 +29,47 @@
 
 // stream is one direction of a connection.
 type stream struct {
-	n    *network
-	link link
-	made time.Time
+	network  *network
+	link     link
+	openedAt time.Time
 
-	mu      sync.Mutex // guards what follows
-	parts   []part
-	ended   bool          // the writer has closed it
-	dropped bool          // the reader has closed it
-	wake    chan struct{} // closed and replaced when something of it changes
+	mu           sync.Mutex // guards what follows
+	chunks       []chunk
+	writerClosed bool          // the writer has closed it
+	readerClosed bool          // the reader has closed it
+	updated      chan struct{} // closed and replaced when something of it changes
 }
 
-type part struct {
-	due   time.Time
-	bytes []byte
+type chunk struct {
+	arrivesAt time.Time
+	data      []byte
 }
 
 func newStream(n *network, l link) *stream {
-	return &stream{n: n, link: l, made: time.Now(), wake: make(chan struct{})}
+	return &stream{network: n, link: l, openedAt: time.Now(), updated: make(chan struct{})}
 }
 
-func (s *stream) change(f func()) {
+func (s *stream) update(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f()
-	close(s.wake)
-	s.wake = make(chan struct{})
+	close(s.updated)
+	s.updated = make(chan struct{})
 }
 
-func (s *stream) end()  { s.change(func() { s.ended = true }) }
-func (s *stream) drop() { s.change(func() { s.dropped = true }) }
+func (s *stream) closeWrite() { s.update(func() { s.writerClosed = true }) }
+func (s *stream) closeRead()  { s.update(func() { s.readerClosed = true }) }
 
 func (s *stream) write(p []byte) (n int, err error) {
-	s.change(func() {
-		if s.ended || s.dropped {
+	s.update(func() {
+		if s.writerClosed || s.readerClosed {
 			err = net.ErrClosed
 			return
 		}
-		if s.n.silenced(s.made) {
+		if s.network.isBlackholed(s.openedAt) {
 			return
 		}
-		s.parts = append(s.parts, part{time.Now().Add(latency), append([]byte(nil), p...)})
+		s.chunks = append(s.chunks, chunk{time.Now().Add(latency), append([]byte(nil), p...)})
 	})
 	if err != nil {
 		return 0, err
@@ -79,8 +79,8 @@
 
 func (s *stream) read(p []byte) (int, error) {
 	for {
-		blocked, changed := s.n.blocked(s.link)
-		n, wait, wake, err := s.take(p, blocked)
+		blocked, changed := s.network.blocked(s.link)
+		n, wait, wake, err := s.readArrived(p, blocked)
 		if n > 0 || err != nil {
 			return n, err
 		}
@@ -94,31 +94,31 @@
 	}
 }
 
-// never is the wait when only a change can bring something.
-const never = 1000 * time.Hour
+// forever is the wait when only a change can bring something.
+const forever = 1000 * time.Hour
 
-// take returns what has arrived, or how long to wait for it.
-func (s *stream) take(p []byte, blocked bool) (n int, wait time.Duration, wake <-chan struct{}, err error) {
+// readArrived returns what has arrived, or how long to wait for it.
+func (s *stream) readArrived(p []byte, blocked bool) (n int, wait time.Duration, wake <-chan struct{}, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case s.dropped:
+	case s.readerClosed:
 		return 0, 0, nil, net.ErrClosed
 	case blocked:
-		return 0, never, s.wake, nil
-	case len(s.parts) == 0 && s.ended:
+		return 0, forever, s.updated, nil
+	case len(s.chunks) == 0 && s.writerClosed:
 		return 0, 0, nil, io.EOF
-	case len(s.parts) == 0:
-		return 0, never, s.wake, nil
+	case len(s.chunks) == 0:
+		return 0, forever, s.updated, nil
 	}
-	first := &s.parts[0]
-	if wait := time.Until(first.due); wait > 0 {
-		return 0, wait, s.wake, nil
+	first := &s.chunks[0]
+	if wait := time.Until(first.arrivesAt); wait > 0 {
+		return 0, wait, s.updated, nil
 	}
-	n = copy(p, first.bytes)
-	first.bytes = first.bytes[n:]
-	if len(first.bytes) == 0 {
-		s.parts = s.parts[1:]
+	n = copy(p, first.data)
+	first.data = first.data[n:]
+	if len(first.data) == 0 {
+		s.chunks = s.chunks[1:]
 	}
 	return n, 0, nil, nil
 }
--- a/failure/drain_test.go
+++ b/failure/drain_test.go
@@ -11,46 +11,46 @@
 // drainLimit is the time after which a target that leaves gets no new start.
 const drainLimit = 2 * time.Second
 
-// ways are how a target leaves: by its row, by its own word, or with its agent.
-var ways = map[string]func(s *site, i int){
+// leaveMethods are how a target leaves: by its row, by its own word, or with its agent.
+var leaveMethods = map[string]func(s *site, i int){
 	"row drained": func(s *site, i int) { s.setTarget(i, table.Row{Weight: 1, Drain: true}) },
 	"row removed": func(s *site, i int) {
 		s.setTarget(i, table.Row{Weight: 1})
 		s.setTarget(i, table.Row{Weight: 1, Removed: true})
 	},
 	"target leaves": func(s *site, i int) {
-		d := s.desks[i]
-		if err := s.agent(i).Hear(d.lastAnnouncement()); err != nil {
+		d := s.targets[i]
+		if err := s.agent(i).Hear(d.leavingAnnouncement()); err != nil {
 			s.t.Error(err)
 		}
 	},
 	"agent stops": func(s *site, i int) {
-		s.duties.Go(func() { _ = s.agent(i).Stop(context.Background()) })
+		s.goroutines.Go(func() { _ = s.agent(i).Stop(context.Background()) })
 	},
 }
 
 // setTarget writes the row of a target.
 func (s *site) setTarget(i int, r table.Row) {
 	s.t.Helper()
-	r.Kind, r.Name = table.Target, s.desks[i].name
+	r.Kind, r.Name = table.Target, s.targets[i].name
 	s.setRow(r)
 }
 
-func TestTargetThatLeavesGetsNothingNew(t *testing.T) {
-	for name, leave := range ways {
+func TestLeavingTargetGetsNoStarts(t *testing.T) {
+	for name, leave := range leaveMethods {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			onSite(t, 3, func(t *testing.T, s *site) {
+			runWithSite(t, 3, func(t *testing.T, s *site) {
 				end := time.Now().Add(30 * time.Second)
-				s.duties.Go(func() { s.run(&crowd{prefix: "flood", callers: 12, jobs: 1000, tasks: 3, limit: end}) })
+				s.goroutines.Go(func() { s.runWorkload(&workload{prefix: "flood", callers: 12, jobs: 1000, tasks: 3, until: end}) })
 				time.Sleep(5 * time.Second)
 				leave(s, 0)
 				time.Sleep(drainLimit)
-				before, others := s.desks[0].journal.Total(), s.desks[1].journal.Total()
+				before, others := s.targets[0].journal.Total(), s.targets[1].journal.Total()
 				time.Sleep(time.Until(end))
-				after := s.desks[0].journal.Total()
+				after := s.targets[0].journal.Total()
 				t.Logf("%d starts before, %d after", before, after-before)
-				if before == 0 || after > before || s.desks[1].journal.Total() == others {
+				if before == 0 || after > before || s.targets[1].journal.Total() == others {
 					t.Errorf("%d starts before it left, %d after the limit", before, after-before)
 				}
 			})
--- a/failure/fleet_config_test.go
+++ b/failure/fleet_config_test.go
@@ -13,8 +13,8 @@
 
 // The users' bounds on a configuration.
 const (
-	configApply = 2 * time.Second // from the store's acknowledgement until it is in force everywhere
-	recoverIn   = 12 * time.Second
+	configApplyLimit = 2 * time.Second // from the store's acknowledgement until it is in force everywhere
+	recoveryLimit    = 12 * time.Second
 )
 
 // versionQueue is a queue that only one version of the configuration has.
@@ -59,24 +59,24 @@
 		{"nothing fails", func(*fleet) {}},
 		{"watches hear nothing", func(s *fleet) { s.store.Set(standin.StoreFaults{Deaf: true}) }},
 		{"store slow", func(s *fleet) { s.store.Set(standin.StoreFaults{Delay: 200 * time.Millisecond}) }},
-		{"one entry is refused", func(s *fleet) { s.n.cut("e1", "store", true) }},
-		{"home is refused", func(s *fleet) { s.n.cut(fmt.Sprint("e", s.home()), "store", true) }},
-		{"open connections silent", func(s *fleet) { s.n.silenceOpen() }},
+		{"one entry is refused", func(s *fleet) { s.network.cut("e1", "store", true) }},
+		{"home is refused", func(s *fleet) { s.network.cut(fmt.Sprint("e", s.home()), "store", true) }},
+		{"open connections silent", func(s *fleet) { s.network.blackholeOpenConns() }},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			onFleet(t, func(_ *testing.T, s *fleet) {
+			runWithFleet(t, func(_ *testing.T, s *fleet) {
 				time.AfterFunc(4*time.Second, func() { tc.fault(s) })
-				s.changeAndAsk(5)
+				s.checkConfigChanges(5)
 				s.store.Set(standin.StoreFaults{})
 			})
 		})
 	}
 }
 
-// changeAndAsk writes versions, three seconds apart, and checks what the entries
+// checkConfigChanges writes versions, three seconds apart, and checks what the entries
 // have in force meanwhile.
-func (s *fleet) changeAndAsk(versions int) {
+func (s *fleet) checkConfigChanges(versions int) {
 	c := &http.Client{Transport: &http.Transport{DialContext: s.dial("caller"), DisableKeepAlives: true}}
 	seen := make([]int, fleetEntries)
 	for v := 2; v < 2+versions; v++ {
@@ -92,7 +92,7 @@
 					s.t.Errorf("entry %d: version %d in force after version %d", i, have, seen[i])
 				}
 				seen[i] = max(seen[i], have)
-				if asked > configApply && have != v {
+				if asked > configApplyLimit && have != v {
 					s.t.Errorf("entry %d: version %d in force %s after version %d was written", i, have, asked, v)
 					return
 				}
@@ -102,15 +102,15 @@
 	}
 }
 
-// TestEntryThatStartsWithoutTheStoreHasTheNewestConfiguration: the store is down
+// TestEntryStartedWithoutStoreHasNewestConfiguration: the store is down
 // when an entry starts anew, and others have the configuration.
-func TestEntryThatStartsWithoutTheStoreHasTheNewestConfiguration(t *testing.T) {
-	onFleet(t, func(t *testing.T, s *fleet) {
+func TestEntryStartedWithoutStoreHasNewestConfiguration(t *testing.T) {
+	runWithFleet(t, func(t *testing.T, s *fleet) {
 		c := &http.Client{Transport: &http.Transport{DialContext: s.dial("caller"), DisableKeepAlives: true}}
 		if err := s.store.PutConfig(2, pingQueue, longQueue, versionQueue(2)); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(configApply)
+		time.Sleep(configApplyLimit)
 		s.store.Set(standin.StoreFaults{Down: true})
 		s.entry(2).Kill()
 		time.Sleep(time.Second)
@@ -123,10 +123,10 @@
 	})
 }
 
-// TestEverythingDiesAtOnce: all that is left is the store. Jobs that come after
+// TestAllProcessesRestart: all that is left is the store. Jobs that come after
 // the users' bound are served.
-func TestEverythingDiesAtOnce(t *testing.T) {
-	onFleet(t, func(_ *testing.T, s *fleet) {
+func TestAllProcessesRestart(t *testing.T) {
+	runWithFleet(t, func(_ *testing.T, s *fleet) {
 		for i := range fleetEntries {
 			s.entry(i).Kill()
 		}
@@ -140,9 +140,9 @@
 		for i := range fleetEntries {
 			s.startEntry(i)
 		}
-		time.Sleep(recoverIn)
+		time.Sleep(recoveryLimit)
 		s.load(2*time.Second, 0, 1, 2)
-		s.wantServed(1)
+		s.wantCompleted(1)
 		s.wantOneHome()
 	})
 }
--- a/failure/fleet_faults_test.go
+++ b/failure/fleet_faults_test.go
@@ -9,28 +9,28 @@
 	"masticbay/platform/standin"
 )
 
-// wantServed checks how many of the answered jobs completed.
-func (s *fleet) wantServed(least float64) {
+// wantCompleted checks how many of the answered jobs completed.
+func (s *fleet) wantCompleted(least float64) {
 	s.t.Helper()
 	answered, completed, rejected := s.counts()
-	s.t.Logf("%d answered, %d completed, %d rejected, %d requests without an answer", answered, completed, rejected, s.lost)
-	if float64(completed) < least*float64(answered+s.lost) || answered == 0 {
-		s.t.Errorf("%d of %d jobs completed, want %.0f%%", completed, answered+s.lost, 100*least)
+	s.t.Logf("%d answered, %d completed, %d rejected, %d requests without an answer", answered, completed, rejected, s.unanswered)
+	if float64(completed) < least*float64(answered+s.unanswered) || answered == 0 {
+		s.t.Errorf("%d of %d jobs completed, want %.0f%%", completed, answered+s.unanswered, 100*least)
 	}
 }
 
-func TestFleetServesACalmDay(t *testing.T) {
-	onFleet(t, func(_ *testing.T, s *fleet) {
+func TestFleetWithoutFaults(t *testing.T) {
+	runWithFleet(t, func(_ *testing.T, s *fleet) {
 		s.load(4*time.Second, 0, 1, 2)
-		s.wantServed(1)
+		s.wantCompleted(1)
 	})
 }
 
 // fleetFault is something that fails for a while.
 type fleetFault struct {
-	name  string
-	least float64 // part of the requests that completes nevertheless
-	fault func(s *fleet)
+	name     string
+	minShare float64 // part of the requests that completes nevertheless
+	fault    func(s *fleet)
 }
 
 var fleetFaults = []fleetFault{
@@ -51,11 +51,11 @@
 	{"answers of the home cut off", 0.85, func(s *fleet) {
 		h := s.home()
 		for i := range fleetEntries {
-			s.n.cut(fmt.Sprint("e", h), fmt.Sprint("e", i), true)
+			s.network.cut(fmt.Sprint("e", h), fmt.Sprint("e", i), true)
 		}
 		time.Sleep(2 * time.Second)
 		for i := range fleetEntries {
-			s.n.cut(fmt.Sprint("e", h), fmt.Sprint("e", i), false)
+			s.network.cut(fmt.Sprint("e", h), fmt.Sprint("e", i), false)
 		}
 	}},
 	{"agent killed", 0.85, func(s *fleet) {
@@ -77,9 +77,9 @@
 		time.Sleep(3 * time.Second)
 		s.workers[1].Set(standin.WorkerFaults{})
 	}},
-	{"orders late", 0.85, func(s *fleet) { s.loseOrders(3 * time.Second) }},
-	{"orders never carried out", 0.85, func(s *fleet) { s.loseOrders(0) }},
-	{"open connections silent", 0.85, func(s *fleet) { s.n.silenceOpen() }},
+	{"orders late", 0.85, func(s *fleet) { s.leaveOrdersUnanswered(3 * time.Second) }},
+	{"orders never carried out", 0.85, func(s *fleet) { s.leaveOrdersUnanswered(0) }},
+	{"open connections silent", 0.85, func(s *fleet) { s.network.blackholeOpenConns() }},
 	{"store down", 1, func(s *fleet) {
 		s.store.Set(standin.StoreFaults{Down: true})
 		time.Sleep(3 * time.Second)
@@ -87,14 +87,14 @@
 	}},
 	{"entry leaves", 1, func(s *fleet) {
 		h := s.home()
-		time.AfterFunc(2*time.Second, func() { s.setRotation(h, false) })
+		time.AfterFunc(2*time.Second, func() { s.setInRotation(h, false) })
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
 		if err := s.entry(h).Stop(ctx); err != nil {
 			s.t.Error(err)
 		}
 		s.startEntry(h)
-		s.setRotation(h, true)
+		s.setInRotation(h, true)
 	}},
 	{"worker drains", 1, func(s *fleet) { s.workers[1].Drain() }},
 }
@@ -104,7 +104,7 @@
 func TestFleetUnderFaults(t *testing.T) {
 	for _, tc := range fleetFaults {
 		t.Run(tc.name, func(t *testing.T) {
-			onFleet(t, func(_ *testing.T, s *fleet) {
+			runWithFleet(t, func(_ *testing.T, s *fleet) {
 				done := make(chan struct{})
 				go func() {
 					defer close(done)
@@ -113,18 +113,18 @@
 				}()
 				s.load(6*time.Second, 0, 1, 2)
 				<-done
-				s.wantServed(tc.least)
+				s.wantCompleted(tc.minShare)
 				s.wantOneHome()
 			})
 		})
 	}
 }
 
-// TestEntryThatLeavesAnswersAll: the balancer goes on to send callers to an entry
+// TestLeavingEntryAnswersEveryCaller: the balancer goes on to send callers to an entry
 // that stops, as it does when too few others of its data centre are left. None
 // of them may lose its connection without an answer.
-func TestEntryThatLeavesAnswersAll(t *testing.T) {
-	onFleet(t, func(t *testing.T, s *fleet) {
+func TestLeavingEntryAnswersEveryCaller(t *testing.T) {
+	runWithFleet(t, func(t *testing.T, s *fleet) {
 		leaving := (s.home() + 1) % fleetEntries
 		stopped := make(chan struct{})
 		go func() {
@@ -139,8 +139,8 @@
 		}()
 		s.load(8*time.Second, 0, 1, 2)
 		<-stopped
-		if s.broken > 0 {
-			t.Errorf("%d requests lost their connection without an answer", s.broken)
+		if s.brokenConns > 0 {
+			t.Errorf("%d requests lost their connection without an answer", s.brokenConns)
 		}
 	})
 }
@@ -161,23 +161,23 @@
 }
 
 func (s *fleet) pauseFor(host string, span time.Duration) {
-	s.n.pause(host, true)
+	s.network.pause(host, true)
 	time.Sleep(span)
-	s.n.pause(host, false)
+	s.network.pause(host, false)
 }
 
 // cutFor cuts both directions between two hosts and heals them later.
 func (s *fleet) cutFor(a, b string, span time.Duration) {
-	s.n.cut(a, b, true)
-	s.n.cut(b, a, true)
+	s.network.cut(a, b, true)
+	s.network.cut(b, a, true)
 	time.AfterFunc(span, func() {
-		s.n.cut(a, b, false)
-		s.n.cut(b, a, false)
+		s.network.cut(a, b, false)
+		s.network.cut(b, a, false)
 	})
 }
 
-// loseOrders lets every twelfth order to a worker get no answer, for a while.
-func (s *fleet) loseOrders(late time.Duration) {
+// leaveOrdersUnanswered lets every twelfth order to a worker get no answer, for a while.
+func (s *fleet) leaveOrdersUnanswered(late time.Duration) {
 	for _, w := range s.workers {
 		w.Set(standin.WorkerFaults{Mute: func(n int) bool { return n%12 == 0 }, Late: late})
 	}
--- a/failure/fleet_pairs_test.go
+++ b/failure/fleet_pairs_test.go
@@ -13,20 +13,20 @@
 	pairsSeed = flag.Uint64("pairsSeed", 1, "seed that chooses the pairs")
 )
 
-// ends tells which faults end a process, and of which kind: two that may end the
+// endedProcess tells which faults end a process, and of which kind: two that may end the
 // same one are not paired.
-var ends = map[string]string{"home killed": "entry", "entry leaves": "entry", "agent killed": "agent"}
+var endedProcess = map[string]string{"home killed": "entry", "entry leaves": "entry", "agent killed": "agent"}
 
-// leastInPairs is the part of the requests that completes under two faults. It
+// minShareInPairs is the part of the requests that completes under two faults. It
 // is the least floor of the users' days with trouble.
-const leastInPairs = 0.377
+const minShareInPairs = 0.377
 
 // TestFleetUnderPairsOfFaults lets a second thing fail while the first one does.
 func TestFleetUnderPairsOfFaults(t *testing.T) {
 	var pairs [][2]fleetFault
 	for i, a := range fleetFaults {
 		for _, b := range fleetFaults[i:] {
-			if ends[a.name] == "" || ends[a.name] != ends[b.name] {
+			if endedProcess[a.name] == "" || endedProcess[a.name] != endedProcess[b.name] {
 				pairs = append(pairs, [2]fleetFault{a, b})
 			}
 		}
@@ -35,22 +35,22 @@
 	rng.Shuffle(len(pairs), func(i, j int) { pairs[i], pairs[j] = pairs[j], pairs[i] })
 	for _, p := range pairs[:min(*pairsFlag, len(pairs))] {
 		t.Run(p[0].name+"+"+p[1].name, func(t *testing.T) {
-			onFleet(t, func(_ *testing.T, s *fleet) {
+			runWithFleet(t, func(_ *testing.T, s *fleet) {
 				var faults sync.WaitGroup
 				for i, f := range p {
 					faults.Go(func() {
-						time.Sleep(time.Second + time.Duration(i)*betweenFaults)
+						time.Sleep(time.Second + time.Duration(i)*faultDelay)
 						f.fault(s)
 					})
 				}
 				s.load(6*time.Second, 0, 1, 2)
 				faults.Wait()
-				s.wantServed(leastInPairs)
+				s.wantCompleted(minShareInPairs)
 				s.wantOneHome()
 			})
 		})
 	}
 }
 
-// betweenFaults is less than any fault lasts.
-const betweenFaults = 300 * time.Millisecond
+// faultDelay is less than any fault lasts.
+const faultDelay = 300 * time.Millisecond
--- a/failure/fleet_test.go
+++ b/failure/fleet_test.go
@@ -52,38 +52,38 @@
 // fleet is an installation on the users' platform: whole duties of entries and
 // agents, stand-ins of the store and of workers, on a network in memory.
 type fleet struct {
-	t       *testing.T
-	n       *network
-	store   *standin.Store
-	workers [fleetAgents]*standin.Worker
-	stop    context.CancelFunc
-	ctx     context.Context
-	duties  sync.WaitGroup
+	t          *testing.T
+	network    *network
+	store      *standin.Store
+	workers    [fleetAgents]*standin.Worker
+	stop       context.CancelFunc
+	ctx        context.Context
+	goroutines sync.WaitGroup
 
-	mu      sync.Mutex // guards what follows
-	entries [fleetEntries]*daemon.Entry
-	agents  [fleetAgents]*daemon.Agent
-	replies map[string]standin.Reply
-	replied map[string]time.Time // when the reply came
-	unclear map[string]bool      // jobs of which an earlier submission may have run
-	left    [fleetEntries]bool   // entries out of the balancer's rotation
-	lost    int                  // requests without an answer
-	broken  int                  // of them those whose connection was taken and ended
+	mu            sync.Mutex // guards what follows
+	entries       [fleetEntries]*daemon.Entry
+	agents        [fleetAgents]*daemon.Agent
+	replies       map[string]standin.Reply
+	repliedAt     map[string]time.Time // when the reply came
+	mayHaveRun    map[string]bool      // jobs of which an earlier submission may have run
+	outOfRotation [fleetEntries]bool   // entries out of the balancer's rotation
+	unanswered    int                  // requests without an answer
+	brokenConns   int                  // of them those whose connection was taken and ended
 }
 
-// onFleet runs f in a bubble on a fleet that has found itself, and judges it.
-func onFleet(t *testing.T, f func(t *testing.T, s *fleet)) {
+// runWithFleet runs f in a bubble on a fleet that has found itself, and judges it.
+func runWithFleet(t *testing.T, f func(t *testing.T, s *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFleet(t)
 		time.Sleep(2 * time.Second)
 		f(t, s)
-		s.judge()
+		s.checkInvariants()
 		s.close()
 	})
 }
 
 func newFleet(t *testing.T) *fleet {
-	s := &fleet{t: t, n: newNetwork(), store: standin.NewStore(store.NewMemory(clock.System{})), replies: make(map[string]standin.Reply), replied: make(map[string]time.Time), unclear: make(map[string]bool)}
+	s := &fleet{t: t, network: newNetwork(), store: standin.NewStore(store.NewMemory(clock.System{})), replies: make(map[string]standin.Reply), repliedAt: make(map[string]time.Time), mayHaveRun: make(map[string]bool)}
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	if err := s.store.PutConfig(1, pingQueue, longQueue); err != nil {
 		t.Fatal(err)
@@ -91,12 +91,12 @@
 	s.serve("store", s.store.Handler())
 	for i := range s.workers {
 		s.workers[i] = standin.NewWorker(standin.WorkerConfig{
-			ID: fmt.Sprint("worker", i), Service: service, Labels: []string{"a"}, CPU: fleetTasks * taskCPU, Memory: 1024, Work: workTime,
+			ID: fmt.Sprint("worker", i), Service: service, Labels: []string{"a"}, CPU: fleetTasks * taskCPU, Memory: 1024, Work: taskRunTime,
 		})
 		s.serve(fmt.Sprint("w", i), s.workers[i].Handler())
 		s.startAgent(i)
 		client := &http.Client{Transport: &http.Transport{DialContext: s.dial(fmt.Sprint("w", i))}}
-		s.duties.Go(func() {
+		s.goroutines.Go(func() {
 			s.workers[i].Announce(s.ctx, client, fmt.Sprint("c", i), time.Second)
 			client.CloseIdleConnections()
 		})
@@ -107,30 +107,30 @@
 	return s
 }
 
-// workTime is how long the tasks of a job take: its first digit in tenths of a
+// taskRunTime is how long the tasks of a job take: its first digit in tenths of a
 // second.
-func workTime(task string, _ int) (time.Duration, bool) {
+func taskRunTime(task string, _ int) (time.Duration, bool) {
 	return time.Duration(task[0]-'0') * 100 * time.Millisecond, false
 }
 
 func (s *fleet) serve(address string, h http.Handler) {
-	ln, err := host{s.n, address}.Listen(address)
+	ln, err := host{s.network, address}.Listen(address)
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	srv := &http.Server{Handler: h}
-	s.duties.Go(func() { _ = srv.Serve(ln) })
+	s.goroutines.Go(func() { _ = srv.Serve(ln) })
 	context.AfterFunc(s.ctx, func() { _ = srv.Close() })
 }
 
 func (s *fleet) dial(from string) platform.Dial {
 	return func(ctx context.Context, _, address string) (net.Conn, error) {
-		return webHost{host{s.n, from}}.Dial(ctx, address)
+		return webHost{host{s.network, from}}.Dial(ctx, address)
 	}
 }
 
-// dialLimit ends attempts to connect over a cut, as the processes' own dialers do.
-const dialLimit = time.Second
+// dialTimeout ends attempts to connect over a cut, as the processes' own dialers do.
+const dialTimeout = time.Second
 
 // webHost is a host that also connects to addresses to which an HTTP client has
 // added its default port.
@@ -138,7 +138,7 @@
 
 // Dial implements wire.Network.
 func (h webHost) Dial(ctx context.Context, address string) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, dialLimit)
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	return h.host.Dial(ctx, strings.TrimSuffix(address, ":80"))
 }
@@ -153,7 +153,7 @@
 func (s *fleet) startEntry(i int) {
 	n := s.node(fmt.Sprint("e", i))
 	n.Front, n.Ready = fmt.Sprint("f", i), fmt.Sprint("r", i)
-	e, err := daemon.StartEntry(daemon.EntryOptions{Node: &n, Log: fleetLog(n.Name), Clock: clock.System{}, Network: webHost{host{s.n, n.Name}}})
+	e, err := daemon.StartEntry(daemon.EntryOptions{Node: &n, Log: fleetLog(n.Name), Clock: clock.System{}, Network: webHost{host{s.network, n.Name}}})
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -165,7 +165,7 @@
 func (s *fleet) startAgent(i int) {
 	n := s.node(fmt.Sprint("a", i))
 	n.Control, n.Worker = fmt.Sprint("c", i), fmt.Sprint("w", i)
-	a, err := daemon.StartAgent(daemon.AgentOptions{Node: &n, Log: fleetLog(n.Name), Clock: clock.System{}, Network: webHost{host{s.n, n.Name}}})
+	a, err := daemon.StartAgent(daemon.AgentOptions{Node: &n, Log: fleetLog(n.Name), Clock: clock.System{}, Network: webHost{host{s.network, n.Name}}})
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -218,38 +218,38 @@
 	c := standin.Caller{Client: &http.Client{Transport: &http.Transport{DialContext: s.dial("caller"), DisableKeepAlives: true}}, Waits: 6 * time.Second}
 	step := work.Step{Count: tasks, Room: work.Room{CPU: taskCPU}, Estimate: time.Duration(id[0]-'0') * 100 * time.Millisecond}
 	for try := range 2 {
-		rep, err := c.Submit(s.ctx, s.rotation(entry+try), q.Name, id, step)
+		rep, err := c.Submit(s.ctx, s.frontAddress(entry+try), q.Name, id, step)
 		s.mu.Lock()
 		if err == nil && rep.Status != http.StatusGatewayTimeout {
-			s.replies[id], s.replied[id] = rep, time.Now()
+			s.replies[id], s.repliedAt[id] = rep, time.Now()
 			s.mu.Unlock()
 			return
 		}
-		s.lost++
-		s.unclear[id] = true
+		s.unanswered++
+		s.mayHaveRun[id] = true
 		if err != nil && !errors.Is(err, syscall.ECONNREFUSED) {
-			s.broken++
+			s.brokenConns++
 		}
 		s.mu.Unlock()
 		time.Sleep(1300 * time.Millisecond)
 	}
 }
 
-// rotation returns the front address of an entry that the balancer uses.
-func (s *fleet) rotation(entry int) string {
+// frontAddress returns the front address of an entry that the balancer uses.
+func (s *fleet) frontAddress(entry int) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for s.left[entry%fleetEntries] {
+	for s.outOfRotation[entry%fleetEntries] {
 		entry++
 	}
 	return fmt.Sprint("f", entry%fleetEntries)
 }
 
-// setRotation takes an entry out of the balancer's rotation, or back.
-func (s *fleet) setRotation(entry int, in bool) {
+// setInRotation takes an entry out of the balancer's rotation, or back.
+func (s *fleet) setInRotation(entry int, in bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.left[entry] = !in
+	s.outOfRotation[entry] = !in
 }
 
 // counts returns how many jobs were answered, completed and rejected.
@@ -267,8 +267,8 @@
 	return len(s.replies), completed, rejected
 }
 
-// judge checks what must hold whatever failed.
-func (s *fleet) judge() {
+// checkInvariants checks what must hold whatever failed.
+func (s *fleet) checkInvariants() {
 	s.t.Helper()
 	for _, wrong := range standin.Overlaps(s.workers[:]...) {
 		s.t.Error(wrong)
@@ -276,7 +276,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, r := range s.replies {
-		s.judgeRejection(id, &r)
+		s.checkRejection(id, &r)
 		if r.Status == http.StatusServiceUnavailable && r.RetryAfter <= 0 {
 			s.t.Errorf("job %s was rejected without a time to come back", id)
 		}
@@ -286,13 +286,13 @@
 	}
 }
 
-// judgeRejection checks that a job that was rejected has not run. One that was
+// checkRejection checks that a job that was rejected has not run. One that was
 // submitted before and got no answer, or was said to be unknown, may have run
 // then, but not later.
-func (s *fleet) judgeRejection(id string, r *standin.Reply) {
+func (s *fleet) checkRejection(id string, r *standin.Reply) {
 	since := time.Time{}
-	if s.unclear[id] {
-		since = s.replied[id]
+	if s.mayHaveRun[id] {
+		since = s.repliedAt[id]
 	}
 	if r.Status == http.StatusServiceUnavailable && standin.RanAfter(since, id, s.workers[:]...) {
 		s.t.Errorf("job %s was rejected and ran", id)
@@ -309,6 +309,6 @@
 	}
 	s.mu.Unlock()
 	s.stop()
-	s.duties.Wait()
-	time.Sleep(settle) // calls that wait end by their own limits
+	s.goroutines.Wait()
+	time.Sleep(settleTime) // calls that wait end by their own limits
 }
--- a/failure/limit_test.go
+++ b/failure/limit_test.go
@@ -14,23 +14,23 @@
 
 // gauge counts the tasks that run at all targets, and the starts above a limit.
 type gauge struct {
-	mu      sync.Mutex // guards what follows
-	running int
-	limit   int // 0 for none
-	from    time.Time
-	starts  int // while the limit holds
-	most    int // that ran after such a start
+	mu         sync.Mutex // guards what follows
+	running    int
+	limit      int // 0 for none
+	activeFrom time.Time
+	starts     int // while the limit holds
+	maxRunning int // that ran after such a start
 }
 
 func (g *gauge) begin() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.running++
-	if g.limit == 0 || time.Now().Before(g.from) {
+	if g.limit == 0 || time.Now().Before(g.activeFrom) {
 		return
 	}
 	g.starts++
-	g.most = max(g.most, g.running)
+	g.maxRunning = max(g.maxRunning, g.running)
 }
 
 func (g *gauge) end() {
@@ -39,43 +39,43 @@
 	g.running--
 }
 
-// demand begins to count for a limit at a time.
-func (g *gauge) demand(limit int, from time.Time) {
+// setLimit begins to count for a limit at a time.
+func (g *gauge) setLimit(limit int, from time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.limit, g.from, g.starts, g.most = limit, from, 0, 0
+	g.limit, g.activeFrom, g.starts, g.maxRunning = limit, from, 0, 0
 }
 
-// check demands that tasks were started, and none above the limit.
-func (g *gauge) check(t *testing.T) {
+// checkLimit demands that tasks were started, and none above the limit.
+func (g *gauge) checkLimit(t *testing.T) {
 	t.Helper()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	t.Logf("limit %d: at most %d ran at once in %d starts", g.limit, g.most, g.starts)
-	if g.starts == 0 || g.most > g.limit {
-		t.Errorf("limit %d: %d ran at once in %d starts", g.limit, g.most, g.starts)
+	t.Logf("limit %d: at most %d ran at once in %d starts", g.limit, g.maxRunning, g.starts)
+	if g.starts == 0 || g.maxRunning > g.limit {
+		t.Errorf("limit %d: %d ran at once in %d starts", g.limit, g.maxRunning, g.starts)
 	}
 }
 
-// used demands that the limit could be used, but for the bases of the other
+// checkUsed demands that the limit could be used, but for the bases of the other
 // entries.
-func (g *gauge) used(t *testing.T, entries int) {
+func (g *gauge) checkUsed(t *testing.T, entries int) {
 	t.Helper()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if least := g.limit - (entries - 1); g.most < least {
-		t.Errorf("limit %d: at most %d ran at once; want at least %d", g.limit, g.most, least)
+	if least := g.limit - (entries - 1); g.maxRunning < least {
+		t.Errorf("limit %d: at most %d ran at once; want at least %d", g.limit, g.maxRunning, least)
 	}
 }
 
-// limitDelay is the time in which a limit is in force everywhere.
-const limitDelay = 4 * time.Second
+// limitApplyTime is the time in which a limit is in force everywhere.
+const limitApplyTime = 4 * time.Second
 
 // setLimit writes the limit of the callers' team.
 func (s *site) setLimit(limit int) {
 	s.t.Helper()
 	s.setRow(table.Row{Kind: table.Team, Name: team, Weight: 1, Limit: limit})
-	s.gauge.demand(limit, time.Now().Add(limitDelay))
+	s.gauge.setLimit(limit, time.Now().Add(limitApplyTime))
 }
 
 // setRow writes a row of the table over the current one.
@@ -93,26 +93,26 @@
 	}
 }
 
-// TestLimitOfATeam lets a team flood three entries, all of them homes, while
+// TestTeamLimit lets a team flood three entries, all of them homes, while
 // its limit is set, lowered, and a member fails.
-func TestLimitOfATeam(t *testing.T) {
-	for _, f := range append([]fault{{name: "none", strike: func(*site, int) func() { return func() {} }}}, faults...) {
+func TestTeamLimit(t *testing.T) {
+	for _, f := range append([]fault{{name: "none", inject: func(*site, int) func() { return func() {} }}}, faults...) {
 		t.Run(f.name, func(t *testing.T) {
 			t.Parallel()
-			onSite(t, 3, func(t *testing.T, s *site) {
-				s.duties.Go(func() {
-					s.run(&crowd{prefix: "flood", callers: 24, jobs: 100, tasks: 3, limit: time.Now().Add(time.Minute)})
+			runWithSite(t, 3, func(t *testing.T, s *site) {
+				s.goroutines.Go(func() {
+					s.runWorkload(&workload{prefix: "flood", callers: 24, jobs: 100, tasks: 3, until: time.Now().Add(time.Minute)})
 				})
 				for _, limit := range []int{9, 4} {
 					s.setLimit(limit)
-					time.Sleep(limitDelay + 2*quota.Hold)
-					s.gauge.check(t)
-					s.gauge.used(t, len(s.entries))
+					time.Sleep(limitApplyTime + 2*quota.Hold)
+					s.gauge.checkLimit(t)
+					s.gauge.checkUsed(t, len(s.entries))
 				}
-				end := f.strike(s, 0)
+				end := f.inject(s, 0)
 				time.Sleep(10 * time.Second)
 				end()
-				s.gauge.check(t)
+				s.gauge.checkLimit(t)
 			}, func(p *policy) { p.Homes = 3 })
 		})
 	}
--- a/failure/network_test.go
+++ b/failure/network_test.go
@@ -15,12 +15,12 @@
 // network connects hosts in memory. What a link or a paused host holds back
 // arrives later, as TCP would bring it.
 type network struct {
-	mu        sync.Mutex // guards what follows
-	listeners map[string]*listener
-	cuts      map[link]bool
-	paused    map[string]bool
-	silence   time.Time     // connections that were made before it carry nothing
-	changed   chan struct{} // closed and replaced when a cut or a pause ends or begins
+	mu               sync.Mutex // guards what follows
+	listeners        map[string]*listener
+	cuts             map[link]bool
+	paused           map[string]bool
+	blackholedBefore time.Time     // connections that were made before it carry nothing
+	changed          chan struct{} // closed and replaced when a cut or a pause ends or begins
 }
 
 // link is one direction between two hosts.
@@ -35,7 +35,7 @@
 	}
 }
 
-func (n *network) change(f func()) {
+func (n *network) update(f func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	f()
@@ -45,21 +45,21 @@
 
 // cut holds back what from sends to to, until on is false.
 func (n *network) cut(from, to string, on bool) {
-	n.change(func() { n.cuts[link{from, to}] = on })
+	n.update(func() { n.cuts[link{from, to}] = on })
 }
 
 func (n *network) pause(host string, on bool) {
-	n.change(func() { n.paused[host] = on })
+	n.update(func() { n.paused[host] = on })
 }
 
-// silenceOpen lets all connections that are open carry nothing any more, without
+// blackholeOpenConns lets all connections that are open carry nothing any more, without
 // a reset.
-func (n *network) silenceOpen() { n.change(func() { n.silence = time.Now() }) }
+func (n *network) blackholeOpenConns() { n.update(func() { n.blackholedBefore = time.Now() }) }
 
-func (n *network) silenced(made time.Time) bool {
+func (n *network) isBlackholed(made time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return made.Before(n.silence)
+	return made.Before(n.blackholedBefore)
 }
 
 // blocked reports whether a link holds back, and a channel that is closed when
@@ -70,8 +70,8 @@
 	return n.cuts[l] || n.paused[l.from] || n.paused[l.to], n.changed
 }
 
-// await waits until a link lets through, or until ctx ends.
-func (n *network) await(ctx context.Context, l link) error {
+// awaitUnblocked waits until a link lets through, or until ctx ends.
+func (n *network) awaitUnblocked(ctx context.Context, l link) error {
 	for {
 		blocked, changed := n.blocked(l)
 		if !blocked {
@@ -85,43 +85,43 @@
 	}
 }
 
-// awaken waits until a host is not paused.
-func (n *network) awaken(host string) {
-	_ = n.await(context.Background(), link{host, host})
+// awaitResume waits until a host is not paused.
+func (n *network) awaitResume(host string) {
+	_ = n.awaitUnblocked(context.Background(), link{host, host})
 }
 
 // host is the network as one process sees it.
 type host struct {
-	n    *network
-	name string
+	network *network
+	name    string
 }
 
 // Listen implements wire.Network. The address is the name of the host.
 func (h host) Listen(address string) (net.Listener, error) {
-	h.n.mu.Lock()
-	defer h.n.mu.Unlock()
-	l := &listener{n: h.n, address: address, conns: make(chan net.Conn), closed: make(chan struct{})}
-	h.n.listeners[address] = l
+	h.network.mu.Lock()
+	defer h.network.mu.Unlock()
+	l := &listener{network: h.network, address: address, conns: make(chan net.Conn), closed: make(chan struct{})}
+	h.network.listeners[address] = l
 	return l, nil
 }
 
 // Dial implements wire.Network. A paused process still gets connections.
 func (h host) Dial(ctx context.Context, address string) (net.Conn, error) {
 	for _, l := range []link{{h.name, address}, {address, h.name}} {
-		if h.n.isCut(l) {
+		if h.network.isCut(l) {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
 	}
 	time.Sleep(2 * latency)
-	h.n.mu.Lock()
-	ln := h.n.listeners[address]
-	h.n.mu.Unlock()
+	h.network.mu.Lock()
+	ln := h.network.listeners[address]
+	h.network.mu.Unlock()
 	refused := &net.OpError{Op: "dial", Net: "memory", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
 	if ln == nil {
 		return nil, refused
 	}
-	there, back := newStream(h.n, link{h.name, address}), newStream(h.n, link{address, h.name})
+	there, back := newStream(h.network, link{h.name, address}), newStream(h.network, link{address, h.name})
 	select {
 	case ln.conns <- &conn{in: there, out: back}:
 		return &conn{in: back, out: there}, nil
@@ -139,7 +139,7 @@
 }
 
 type listener struct {
-	n       *network
+	network *network
 	address string
 	conns   chan net.Conn
 	closed  chan struct{}
@@ -160,10 +160,10 @@
 func (l *listener) Close() error {
 	l.once.Do(func() {
 		close(l.closed)
-		l.n.mu.Lock()
-		defer l.n.mu.Unlock()
-		if l.n.listeners[l.address] == l {
-			delete(l.n.listeners, l.address)
+		l.network.mu.Lock()
+		defer l.network.mu.Unlock()
+		if l.network.listeners[l.address] == l {
+			delete(l.network.listeners, l.address)
 		}
 	})
 	return nil
--- a/failure/outside_test.go
+++ b/failure/outside_test.go
@@ -25,7 +25,7 @@
 
 // Now implements clock.Clock.
 func (c hostClock) Now() time.Time {
-	c.host.n.awaken(c.host.name)
+	c.host.network.awaitResume(c.host.name)
 	return time.Now()
 }
 
@@ -58,10 +58,10 @@
 	faults *storeFaults
 }
 
-func (s hostStore) reach() error {
-	s.host.n.awaken(s.host.name)
+func (s hostStore) checkReachable() error {
+	s.host.network.awaitResume(s.host.name)
 	time.Sleep(2 * latency)
-	if outage, _ := s.faults.get(); outage || s.host.n.isCut(link{s.host.name, storeName}) {
+	if outage, _ := s.faults.get(); outage || s.host.network.isCut(link{s.host.name, storeName}) {
 		return errors.Trace(store.ErrUnavailable)
 	}
 	return nil
@@ -69,7 +69,7 @@
 
 // Get implements store.Store.
 func (s hostStore) Get(ctx context.Context, key string) (it store.Item, err error) {
-	if err := s.reach(); err != nil {
+	if err := s.checkReachable(); err != nil {
 		return it, err
 	}
 	return s.Store.Get(ctx, key)
@@ -77,7 +77,7 @@
 
 // List implements store.Store.
 func (s hostStore) List(ctx context.Context, prefix string) ([]store.Item, uint64, error) {
-	if err := s.reach(); err != nil {
+	if err := s.checkReachable(); err != nil {
 		return nil, 0, err
 	}
 	return s.Store.List(ctx, prefix)
@@ -85,12 +85,12 @@
 
 // Watch implements store.Store.
 func (s hostStore) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]store.Item, uint64, error) {
-	if err := s.reach(); err != nil {
+	if err := s.checkReachable(); err != nil {
 		return nil, 0, err
 	}
 	items, rev, err := s.Store.Watch(ctx, prefix, after, wait)
 	if err == nil {
-		err = s.reach()
+		err = s.checkReachable()
 	}
 	return items, rev, err
 }
@@ -98,7 +98,7 @@
 // CompareAndSwap implements store.Store. The answer may be lost after the
 // write took effect.
 func (s hostStore) CompareAndSwap(ctx context.Context, key string, value []byte, rev uint64) (uint64, bool, error) {
-	if err := s.reach(); err != nil {
+	if err := s.checkReachable(); err != nil {
 		return 0, false, err
 	}
 	next, ok, err := s.Store.CompareAndSwap(ctx, key, value, rev)
@@ -108,68 +108,68 @@
 	return next, ok, err
 }
 
-// desk is a target: it runs tasks that its agent posts to it. Each run has a
+// fakeTarget is a target: it runs tasks that its agent posts to it. Each run has a
 // result of its own, so that two runs of a task can be told apart.
-type desk struct {
+type fakeTarget struct {
 	host    host // of its agent
 	name    string
 	journal target.Journal
 	gauge   *gauge
 
-	mu     sync.Mutex // guards what follows
-	rand   *rand.Rand
-	runs   int
-	killed chan struct{} // closed while the target is dead
-	silent bool          // it runs tasks, but announces itself no more
-	seq    uint64        // of its last announcement
+	mu                sync.Mutex // guards what follows
+	rand              *rand.Rand
+	runs              int
+	dead              chan struct{} // closed while the target is dead
+	stoppedAnnouncing bool          // it runs tasks, but announces itself no more
+	lastSeq           uint64        // of its last announcement
 }
 
-func newDesk(h host, seed uint64, g *gauge) *desk {
-	return &desk{host: h, gauge: g, name: "desk-" + h.name, rand: rand.New(rand.NewPCG(seed, 1)), killed: make(chan struct{})}
+func newFakeTarget(h host, seed uint64, g *gauge) *fakeTarget {
+	return &fakeTarget{host: h, gauge: g, name: "desk-" + h.name, rand: rand.New(rand.NewPCG(seed, 1)), dead: make(chan struct{})}
 }
 
-func (d *desk) kill() {
+func (d *fakeTarget) kill() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	close(d.killed)
+	close(d.dead)
 }
 
-// announcement returns the next announcement of the target, and false if it
+// nextAnnouncement returns the next announcement of the target, and false if it
 // makes none.
-func (d *desk) announcement() (ann target.Announcement, ok bool) {
-	dead := d.dead()
+func (d *fakeTarget) nextAnnouncement() (ann target.Announcement, ok bool) {
+	dead := d.isDead()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.announce(false), !dead && !d.silent
+	return d.newAnnouncementLocked(false), !dead && !d.stoppedAnnouncing
 }
 
-// lastAnnouncement returns the one with which the target leaves.
-func (d *desk) lastAnnouncement() target.Announcement {
+// leavingAnnouncement returns the one with which the target leaves.
+func (d *fakeTarget) leavingAnnouncement() target.Announcement {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.silent = true
-	return d.announce(true)
+	d.stoppedAnnouncing = true
+	return d.newAnnouncementLocked(true)
 }
 
-// announce numbers an announcement. The caller holds mu.
-func (d *desk) announce(leaving bool) target.Announcement {
-	d.seq++
+// newAnnouncementLocked numbers an announcement. The caller holds mu.
+func (d *fakeTarget) newAnnouncementLocked(leaving bool) target.Announcement {
+	d.lastSeq++
 	return target.Announcement{
-		Name: d.name, Service: service, Address: d.name + ":1", Slots: slots, Leaving: leaving, Life: d.name, Seq: d.seq,
+		Name: d.name, Service: service, Address: d.name + ":1", Slots: slots, Leaving: leaving, Life: d.name, Seq: d.lastSeq,
 	}
 }
 
-func (d *desk) revive() {
+func (d *fakeTarget) revive() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.killed = make(chan struct{})
+	d.dead = make(chan struct{})
 }
 
-func (d *desk) dead() bool {
+func (d *fakeTarget) isDead() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	select {
-	case <-d.killed:
+	case <-d.dead:
 		return true
 	default:
 		return false
@@ -178,35 +178,35 @@
 
 // The run times of tasks.
 const (
-	shortestRun = 40 * time.Millisecond
-	runSpread   = 80 * time.Millisecond
+	minRunTime    = 40 * time.Millisecond
+	runTimeSpread = 80 * time.Millisecond
 )
 
-func (d *desk) begin() (took time.Duration, run int, killed <-chan struct{}) {
+func (d *fakeTarget) beginRun() (took time.Duration, run int, killed <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.runs++
-	return shortestRun + time.Duration(d.rand.Int64N(int64(runSpread))), d.runs, d.killed
+	return minRunTime + time.Duration(d.rand.Int64N(int64(runTimeSpread))), d.runs, d.dead
 }
 
 // RoundTrip implements http.RoundTripper.
-func (d *desk) RoundTrip(req *http.Request) (*http.Response, error) {
+func (d *fakeTarget) RoundTrip(req *http.Request) (*http.Response, error) {
 	_ = req.Body.Close()
-	d.host.n.awaken(d.host.name)
-	if d.dead() {
+	d.host.network.awaitResume(d.host.name)
+	if d.isDead() {
 		return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
 	}
 	index, _ := strconv.Atoi(req.Header.Get(target.IndexHeader))
 	d.journal.Record(target.Started{Key: req.Header.Get(target.KeyHeader), Rerun: req.Header.Get(target.RerunHeader), Index: index})
 	d.gauge.begin()
 	defer d.gauge.end()
-	took, run, killed := d.begin()
+	took, run, killed := d.beginRun()
 	select {
 	case <-time.After(took):
 	case <-killed:
 		return nil, io.ErrUnexpectedEOF
 	}
-	d.host.n.awaken(d.host.name)
+	d.host.network.awaitResume(d.host.name)
 	body := fmt.Sprintf("%q", fmt.Sprintf("%s/%d", d.name, run))
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader([]byte(body))), Request: req}, nil
 }
--- a/failure/region_test.go
+++ b/failure/region_test.go
@@ -28,47 +28,47 @@
 	return north, south
 }
 
-// separate cuts or joins two regions, in both directions.
-func (s *site) separate(a, b region, on bool) {
+// setPartition cuts or joins two regions, in both directions.
+func (s *site) setPartition(a, b region, on bool) {
 	for _, x := range a.hosts {
 		for _, y := range b.hosts {
-			s.n.cut(x, y, on)
-			s.n.cut(y, x, on)
+			s.network.cut(x, y, on)
+			s.network.cut(y, x, on)
 		}
 	}
 }
 
-// meet lets callers in the north submit jobs, joins the regions again, and lets
+// submitAcrossRejoin lets callers in the north submit jobs, joins the regions again, and lets
 // callers in the south submit the same keys at once.
-func (s *site) meet(north, south region) (first, again tally) {
-	late := crowd{prefix: "late", callers: 2, jobs: 5, tasks: 2, at: north.entries}
-	first = s.run(&late)
-	s.separate(north, south, false)
-	late.at = south.entries
+func (s *site) submitAcrossRejoin(north, south region) (first, again tally) {
+	late := workload{prefix: "late", callers: 2, jobs: 5, tasks: 2, entries: north.entries}
+	first = s.runWorkload(&late)
+	s.setPartition(north, south, false)
+	late.entries = south.entries
 	late.resubmission = true
-	return first, s.run(&late)
+	return first, s.runWorkload(&late)
 }
 
-// TestRegionsLoseEachOther cuts two regions off from one another until each has
+// TestPartitionedRegions cuts two regions off from one another until each has
 // given the other up. Each serves its own callers: idempotent jobs throughout,
 // but for what ran in the other region when it was cut off; jobs that are not
 // may end unknown, but never run twice.
-func TestRegionsLoseEachOther(t *testing.T) {
-	onSite(t, 3, func(t *testing.T, s *site) {
+func TestPartitionedRegions(t *testing.T) {
+	runWithSite(t, 3, func(t *testing.T, s *site) {
 		north, south := regions(agents / 2)
-		s.separate(north, south, true)
+		s.setPartition(north, south, true)
 		end := time.Now().Add(5 * retention)
-		kinds := []*crowd{
-			{prefix: "north", at: north.entries, idempotent: true},
-			{prefix: "south", at: south.entries, idempotent: true},
-			{prefix: "northOnce", at: north.entries},
-			{prefix: "southOnce", at: south.entries},
+		kinds := []*workload{
+			{prefix: "north", entries: north.entries, idempotent: true},
+			{prefix: "south", entries: south.entries, idempotent: true},
+			{prefix: "northOnce", entries: north.entries},
+			{prefix: "southOnce", entries: south.entries},
 		}
 		var wg sync.WaitGroup
 		for _, c := range kinds {
-			c.callers, c.jobs, c.tasks, c.pause, c.limit = 2, 10_000, 2, 2*time.Second, end
+			c.callers, c.jobs, c.tasks, c.pause, c.until = 2, 10_000, 2, 2*time.Second, end
 			wg.Go(func() {
-				n := s.run(c)
+				n := s.runWorkload(c)
 				t.Logf("%s: %+v", c.prefix, n)
 				if lost := n.total() - n.complete; c.idempotent && lost > c.callers {
 					t.Errorf("%s: %d of %d idempotent jobs are not complete", c.prefix, lost, n.total())
@@ -76,29 +76,29 @@
 			})
 		}
 		wg.Wait()
-		first, again := s.meet(north, south)
+		first, again := s.submitAcrossRejoin(north, south)
 		t.Logf("before the regions met %+v, after %+v", first, again)
-		time.Sleep(recovery)
-		if n := s.run(&crowd{prefix: "after", callers: 6, jobs: 5, tasks: 3}); n.complete != n.total() {
+		time.Sleep(recoveryTime)
+		if n := s.runWorkload(&workload{prefix: "after", callers: 6, jobs: 5, tasks: 3}); n.complete != n.total() {
 			t.Errorf("long after the regions met: %+v", n)
 		}
 	})
 }
 
-// TestRegionThatWasGivenUp cuts a region off that has all targets. The other one
+// TestRegionDeclaredLost cuts a region off that has all targets. The other one
 // gives all its members up, and gets a new target. Nothing tells the first one,
 // so it must stop to run jobs that are not idempotent by itself.
-func TestRegionThatWasGivenUp(t *testing.T) {
-	onSite(t, 3, func(t *testing.T, s *site) {
+func TestRegionDeclaredLost(t *testing.T) {
+	runWithSite(t, 3, func(t *testing.T, s *site) {
 		const newcomer = 3
 		s.agent(newcomer).Kill()
-		time.Sleep(recovery)
+		time.Sleep(recoveryTime)
 		north, south := regions(newcomer)
-		s.separate(north, south, true)
+		s.setPartition(north, south, true)
 		time.Sleep(2*retention + window)
 		s.startAgent(newcomer)
-		time.Sleep(2 * settle)
-		first, again := s.meet(north, south)
+		time.Sleep(2 * settleTime)
+		first, again := s.submitAcrossRejoin(north, south)
 		t.Logf("before the regions met %+v, after %+v", first, again)
 		if again.total() == again.unanswered {
 			t.Error("the region with the key-value service answers nothing")
@@ -106,16 +106,16 @@
 	})
 }
 
-// TestCutJoinsTheRightHosts makes sure that a separation is one.
-func TestCutJoinsTheRightHosts(t *testing.T) {
-	s := &site{n: newNetwork()}
+// TestPartitionCutsTheRightLinks makes sure that a separation is one.
+func TestPartitionCutsTheRightLinks(t *testing.T) {
+	s := &site{network: newNetwork()}
 	north, south := regions(agents / 2)
-	s.separate(north, south, true)
+	s.setPartition(north, south, true)
 	all := slices.Concat(north.hosts, south.hosts)
 	for _, x := range all {
 		for _, y := range all {
 			apart := slices.Contains(north.hosts, x) != slices.Contains(north.hosts, y)
-			if got := s.n.isCut(link{x, y}); got != apart {
+			if got := s.network.isCut(link{x, y}); got != apart {
 				t.Errorf("%s to %s is cut: %t", x, y, got)
 			}
 		}
--- a/failure/site_test.go
+++ b/failure/site_test.go
@@ -33,16 +33,16 @@
 
 // site is an installation in one bubble.
 type site struct {
-	t      *testing.T
-	n      *network
-	store  *store.Memory
-	faults storeFaults
-	gauge  gauge
-	policy setting.Policy
-	stop   chan struct{}
-	duties sync.WaitGroup
-	desks  [agents]*desk
-	order  []int // entries by their rank as homes; those that were killed last
+	t          *testing.T
+	network    *network
+	store      *store.Memory
+	faults     storeFaults
+	gauge      gauge
+	policy     setting.Policy
+	stop       chan struct{}
+	goroutines sync.WaitGroup
+	targets    [agents]*fakeTarget
+	ranking    []int // entries by their rank as homes; those that were killed last
 
 	mu      sync.Mutex // guards what follows
 	entries []*entry.Entry
@@ -50,16 +50,16 @@
 	ops     []op
 }
 
-// onSite runs f in a bubble on a site that needs no claims any more, and judges
+// runWithSite runs f in a bubble on a site that needs no claims any more, and judges
 // what callers were told.
-func onSite(t *testing.T, entries int, f func(t *testing.T, s *site), changes ...func(*policy)) {
+func runWithSite(t *testing.T, entries int, f func(t *testing.T, s *site), changes ...func(*policy)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, entries, changes...)
 		defer s.close()
-		time.Sleep(settle)
-		s.rank()
+		time.Sleep(settleTime)
+		s.readRanking()
 		f(t, s)
-		s.judge()
+		s.checkAnswers()
 	})
 }
 
@@ -74,14 +74,14 @@
 	for _, change := range changes {
 		change(&policy)
 	}
-	s := &site{t: t, n: newNetwork(), store: store.NewMemory(clock.System{}), policy: policy, stop: make(chan struct{}), entries: make([]*entry.Entry, entries)}
+	s := &site{t: t, network: newNetwork(), store: store.NewMemory(clock.System{}), policy: policy, stop: make(chan struct{}), entries: make([]*entry.Entry, entries)}
 	for i := range s.entries {
 		s.startEntry(i)
 	}
 	for i := range s.agents {
-		s.desks[i] = newDesk(host{s.n, agentName(i)}, uint64(i), &s.gauge)
+		s.targets[i] = newFakeTarget(host{s.network, agentName(i)}, uint64(i), &s.gauge)
 		s.startAgent(i)
-		s.duties.Go(func() { s.announceDuty(i) })
+		s.goroutines.Go(func() { s.announceLoop(i) })
 	}
 	return s
 }
@@ -97,7 +97,7 @@
 }
 
 func (s *site) startEntry(i int) {
-	h := host{s.n, entryName(i)}
+	h := host{s.network, entryName(i)}
 	cfg := setting.Default[setting.Entry]()
 	cfg.HTTP, cfg.RPC, cfg.Peers, cfg.Policy = "", h.name, s.entryNames(), s.policy
 	cfg.Limits.Deadline = s.policy.Window
@@ -112,10 +112,10 @@
 }
 
 func (s *site) startAgent(i int) {
-	h := host{s.n, agentName(i)}
+	h := host{s.network, agentName(i)}
 	cfg := setting.Default[setting.Agent]()
 	cfg.HTTP, cfg.RPC, cfg.Entries, cfg.Policy = "", h.name, s.entryNames(), s.policy
-	a, err := agent.Start(cfg, agent.Options{Log: zerolog.Nop(), Network: h, Target: s.desks[i]})
+	a, err := agent.Start(cfg, agent.Options{Log: zerolog.Nop(), Network: h, Target: s.targets[i]})
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -136,15 +136,15 @@
 	return s.agents[i]
 }
 
-// announceDuty lets a target announce itself.
-func (s *site) announceDuty(i int) {
-	d := s.desks[i]
+// announceLoop lets a target announce itself.
+func (s *site) announceLoop(i int) {
+	d := s.targets[i]
 	for s.sleep(time.Second) {
-		ann, ok := d.announcement()
+		ann, ok := d.nextAnnouncement()
 		if !ok {
 			continue
 		}
-		s.n.awaken(d.host.name)
+		s.network.awaitResume(d.host.name)
 		if err := s.agent(i).Hear(ann); err != nil {
 			s.t.Error(err)
 		}
@@ -161,8 +161,8 @@
 	}
 }
 
-// rank notes which entry jobs belong to, and those that take its place in turn.
-func (s *site) rank() {
+// readRanking notes which entry jobs belong to, and those that take its place in turn.
+func (s *site) readRanking() {
 	var reg member.Registry
 	st, err := s.entry(0).Status(context.Background())
 	if err != nil {
@@ -170,15 +170,15 @@
 	}
 	reg.Entries = st.Entries
 	for _, e := range reg.Rank(service) {
-		s.order = append(s.order, slices.Index(s.entryNames(), e.Address))
+		s.ranking = append(s.ranking, slices.Index(s.entryNames(), e.Address))
 	}
 }
 
 // killHome ends the entry that jobs belong to now, and returns its number.
 func (s *site) killHome() (killed int) {
-	killed = s.order[0]
+	killed = s.ranking[0]
 	s.entry(killed).Kill()
-	s.order = append(s.order[1:], killed)
+	s.ranking = append(s.ranking[1:], killed)
 	return killed
 }
 
@@ -191,18 +191,18 @@
 		s.agent(i).Kill()
 	}
 	close(s.stop)
-	s.duties.Wait()
-	time.Sleep(callsEnd)
+	s.goroutines.Wait()
+	time.Sleep(maxCallTime)
 }
 
-// callsEnd is longer than any call of a member that has ended goes on.
-const callsEnd = time.Minute
+// maxCallTime is longer than any call of a member that has ended goes on.
+const maxCallTime = time.Minute
 
-// judge compares the answers with the journals and with one another.
-func (s *site) judge() {
+// checkAnswers compares the answers with the journals and with one another.
+func (s *site) checkAnswers() {
 	s.t.Helper()
 	var journals []map[target.Started]int
-	for _, d := range s.desks {
+	for _, d := range s.targets {
 		journals = append(journals, d.journal.Counts())
 	}
 	s.mu.Lock()
@@ -214,8 +214,8 @@
 	if v := demo.Judge(answers, journals); v.Wrong() {
 		s.t.Errorf("promises were broken: %+v", v)
 	}
-	for key, ops := range byKey(s.ops) {
-		if !possible(ops) {
+	for key, ops := range groupByKey(s.ops) {
+		if !isLinearizable(ops) {
 			s.t.Errorf("no order explains the answers of %s: %+v", key, ops)
 		}
 	}
--- a/integration/drain_test.go
+++ b/integration/drain_test.go
@@ -12,15 +12,15 @@
 	"masticbay/target"
 )
 
-// TestDrainedTargetGetsNothingNew drains a target under load. Once the entries
+// TestDrainedTargetGetsNoStarts drains a target under load. Once the entries
 // show it as draining, and what ran has ended, its journal does not grow.
-func TestDrainedTargetGetsNothingNew(t *testing.T) {
+func TestDrainedTargetGetsNoStarts(t *testing.T) {
 	s := newSite(t, 2, 2, "3s")
 	s.awaitAll("2 agents", listed(2))
-	before := &crowd{s: s, prefix: "before", callers: 4, jobs: 10, tasks: 4}
+	before := &workload{s: s, prefix: "before", callers: 4, jobs: 10, tasks: 4}
 	var wg sync.WaitGroup
 	wg.Go(before.run)
-	s.edit("target", "desk0", `{"base":0,"weight":1,"drain":true}`)
+	s.editTable("target", "desk0", `{"base":0,"weight":1,"drain":true}`)
 	s.awaitAll("the draining target", func(st entry.StatusReply) bool {
 		for _, a := range st.Agents {
 			if a.Target == "desk0" && a.State == "draining" && a.Running == 0 {
@@ -29,20 +29,20 @@
 		}
 		return false
 	})
-	count := s.started(0)
-	after := &crowd{s: s, prefix: "after", callers: 4, jobs: 10, tasks: 4}
+	count := s.startCount(0)
+	after := &workload{s: s, prefix: "after", callers: 4, jobs: 10, tasks: 4}
 	after.run()
 	wg.Wait()
-	if got := s.started(0); got != count {
+	if got := s.startCount(0); got != count {
 		t.Errorf("the drained target started %d tasks", got-count)
 	}
-	if _, failed := s.judge(before, after); failed > 0 {
+	if _, failed := s.checkAnswers(before, after); failed > 0 {
 		t.Errorf("%d jobs failed", failed)
 	}
 }
 
-// started returns the number of tasks that a target has started.
-func (s *site) started(i int) (n int) {
+// startCount returns the number of tasks that a target has started.
+func (s *site) startCount(i int) (n int) {
 	s.t.Helper()
 	f, err := os.Open(s.journal(i))
 	if err != nil {
@@ -59,8 +59,8 @@
 	return n
 }
 
-// edit writes a row of the table.
-func (s *site) edit(kind, name, body string) {
+// editTable writes a row of the table.
+func (s *site) editTable(kind, name, body string) {
 	s.t.Helper()
 	url := fmt.Sprintf("%s/v1/table/%s/%s", s.url(0), kind, name)
 	req, err := http.NewRequest(http.MethodPut, url, strings.NewReader(body))
--- a/integration/faults_test.go
+++ b/integration/faults_test.go
@@ -11,12 +11,12 @@
 	"masticbay/entry"
 )
 
-// TestKilledPausedAndCutOff kills, pauses and cuts off processes while callers
+// TestKilledPausedAndDisconnected kills, pauses and cuts off processes while callers
 // submit and resubmit.
-func TestKilledPausedAndCutOff(t *testing.T) {
+func TestKilledPausedAndDisconnected(t *testing.T) {
 	s := newSite(t, 2, 4, "3s")
-	s.awaitAll("4 agents", ready(4))
-	c := &crowd{s: s, prefix: "faults", callers: 8, jobs: 40, tasks: 5}
+	s.awaitAll("4 agents", readyWithoutClaims(4))
+	c := &workload{s: s, prefix: "faults", callers: 8, jobs: 40, tasks: 5}
 	var wg sync.WaitGroup
 	wg.Go(c.run)
 	time.Sleep(300 * time.Millisecond)
@@ -34,7 +34,7 @@
 	time.Sleep(700 * time.Millisecond)
 	s.signal("entry1", syscall.SIGCONT)
 	wg.Wait()
-	if v, _ := s.judge(c); v.Started == 0 {
+	if v, _ := s.checkAnswers(c); v.Started == 0 {
 		t.Error("nothing was started")
 	}
 }
@@ -43,7 +43,7 @@
 // while.
 func (s *site) inject(agent int, kind, attributes string, d time.Duration) {
 	s.t.Helper()
-	ts := s.proxies[agent].Toxics
+	ts := s.agentProxies[agent].Toxics
 	for _, stream := range []string{"upstream", "downstream"} {
 		text := fmt.Sprintf(`{"type":%q,"stream":%q,"attributes":%s}`, kind, stream, attributes)
 		if _, err := ts.AddToxicJson(strings.NewReader(text)); err != nil {
@@ -58,23 +58,23 @@
 // job may fail and no task may be interrupted.
 func TestRollingReplacement(t *testing.T) {
 	s := newSite(t, 2, 3, "3s")
-	s.awaitAll("3 agents", ready(3))
-	c := &crowd{s: s, prefix: "rolling", callers: 6, jobs: 100, tasks: 4}
+	s.awaitAll("3 agents", readyWithoutClaims(3))
+	c := &workload{s: s, prefix: "rolling", callers: 6, jobs: 100, tasks: 4}
 	var wg sync.WaitGroup
 	wg.Go(c.run)
 	time.Sleep(200 * time.Millisecond)
 	for i := range 3 {
-		s.stop(name("agent", i))
-		s.start("agent", name("agent", i))
+		s.stop(processName("agent", i))
+		s.start("agent", processName("agent", i))
 		s.awaitAll("the replaced agent", listed(3))
 	}
 	for i := range s.entries {
-		s.stop(name("entry", i))
-		s.start("entry", name("entry", i))
+		s.stop(processName("entry", i))
+		s.start("entry", processName("entry", i))
 		s.await(i, "the agents", listed(3))
 	}
 	wg.Wait()
-	if _, failed := s.judge(c); failed > 0 {
+	if _, failed := s.checkAnswers(c); failed > 0 {
 		t.Errorf("%d jobs failed", failed)
 	}
 }
@@ -97,7 +97,7 @@
 func TestStopWaitsForLongTasks(t *testing.T) {
 	s := newSite(t, 1, 1, "30s")
 	s.await(0, "the agent", listed(1))
-	c := &crowd{s: s, prefix: "long", callers: 1}
+	c := &workload{s: s, prefix: "long", callers: 1}
 	var wg sync.WaitGroup
 	wg.Go(func() { c.submitLong(10_000) })
 	s.awaitStart(0)
@@ -106,7 +106,7 @@
 	stops.Go(func() { s.stop("entry0") })
 	wg.Wait()
 	stops.Wait()
-	if _, failed := s.judge(c); failed > 0 || len(c.answers) != 1 {
+	if _, failed := s.checkAnswers(c); failed > 0 || len(c.answers) != 1 {
 		t.Errorf("the long task was interrupted: %d answers, %d failed", len(c.answers), failed)
 	}
 }
@@ -115,23 +115,23 @@
 // show this: a task that is dispatched may not have reached its agent.
 func (s *site) awaitStart(i int) {
 	s.t.Helper()
-	for end := time.Now().Add(awaitLimit); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if s.started(i) > 0 {
+	for end := time.Now().Add(awaitTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+		if s.startCount(i) > 0 {
 			return
 		}
 	}
-	s.t.Fatalf("target %d started nothing in %v", i, awaitLimit)
+	s.t.Fatalf("target %d started nothing in %v", i, awaitTimeout)
 }
 
 // TestKeyValueOutage lets the key-value service fail and lose answers while
 // jobs run and an agent and an entry are replaced.
 func TestKeyValueOutage(t *testing.T) {
 	s := newSite(t, 2, 3, "3s")
-	s.awaitAll("3 agents", ready(3))
+	s.awaitAll("3 agents", readyWithoutClaims(3))
 	s.setFaults(`{"outage":true}`)
-	c := &crowd{s: s, prefix: "outage", callers: 6, jobs: 40, tasks: 4}
+	c := &workload{s: s, prefix: "outage", callers: 6, jobs: 40, tasks: 4}
 	c.run()
-	if _, failed := s.judge(c); failed > 0 {
+	if _, failed := s.checkAnswers(c); failed > 0 {
 		t.Errorf("%d jobs failed while only the key-value service was down", failed)
 	}
 	s.stop("agent0")
@@ -145,9 +145,9 @@
 		return false
 	})
 	s.setFaults(`{"loseAnswers":true}`)
-	d := &crowd{s: s, prefix: "lost", callers: 6, jobs: 20, tasks: 4}
+	d := &workload{s: s, prefix: "lost", callers: 6, jobs: 20, tasks: 4}
 	d.run()
 	s.setFaults(`{}`)
 	s.await(0, "all agents", listed(3))
-	s.judge(c, d)
+	s.checkAnswers(c, d)
 }
--- a/integration/site_test.go
+++ b/integration/site_test.go
@@ -44,22 +44,22 @@
 
 // site is an installation of real processes.
 type site struct {
-	t        *testing.T
-	dir      string
-	platform string
-	entries  []string // HTTP addresses
-	proxies  []*toxiproxy.Proxy
-	mu       sync.Mutex // guards procs
-	procs    map[string]*exec.Cmd
+	t            *testing.T
+	dir          string
+	platform     string
+	entries      []string // HTTP addresses
+	agentProxies []*toxiproxy.Proxy
+	mu           sync.Mutex // guards procs
+	processes    map[string]*exec.Cmd
 }
 
-const awaitLimit = 60 * time.Second
+const awaitTimeout = 60 * time.Second
 
 // newSite starts a key-value stand-in, entries, and agents with targets. Each
 // agent is reached through a proxy.
 func newSite(t *testing.T, entries, agents int, window string) *site {
 	t.Helper()
-	s := &site{t: t, dir: t.TempDir(), procs: make(map[string]*exec.Cmd)}
+	s := &site{t: t, dir: t.TempDir(), processes: make(map[string]*exec.Cmd)}
 	t.Cleanup(s.close)
 	free := freeAddresses(t, 1+2*entries+4*agents)
 	next := func() string { a := free[0]; free = free[1:]; return a }
@@ -73,28 +73,28 @@
 	list := `["` + strings.Join(rpcs, `", "`) + `"]`
 	policy := fmt.Sprintf("[policy]\nwindow = %q\nheartbeat = \"500ms\"\npeerInterval = \"200ms\"\nunclearLimit = \"3s\"\nclaimLimit = \"1s\"\n", window)
 	for i := range entries {
-		s.write(name("entry", i), "role = \"entry\"\nhttp = %q\nrpc = %q\nplatform = \"http://%s\"\npeers = %s\n%s[limits]\ndeadline = %q\n",
+		s.write(processName("entry", i), "role = \"entry\"\nhttp = %q\nrpc = %q\nplatform = \"http://%s\"\npeers = %s\n%s[limits]\ndeadline = %q\n",
 			s.entries[i], rpcs[i], s.platform, list, policy, window)
 	}
 	for i := range agents {
 		rpc, advertise, web, task := next(), next(), next(), next()
-		s.proxy(advertise, rpc)
-		s.write(name("agent", i), "role = \"agent\"\nrpc = %q\nadvertise = %q\nhttp = %q\nentries = %s\n%s", rpc, advertise, web, list, policy)
-		s.write(name("target", i), "role = \"target\"\nhttp = %q\nagent = \"http://%s\"\nname = \"desk%d\"\njournal = %q\nmedian = \"60ms\"\nannounce = \"200ms\"\nseed = %d\n",
+		s.addProxy(advertise, rpc)
+		s.write(processName("agent", i), "role = \"agent\"\nrpc = %q\nadvertise = %q\nhttp = %q\nentries = %s\n%s", rpc, advertise, web, list, policy)
+		s.write(processName("target", i), "role = \"target\"\nhttp = %q\nagent = \"http://%s\"\nname = \"desk%d\"\njournal = %q\nmedian = \"60ms\"\nannounce = \"200ms\"\nseed = %d\n",
 			task, web, i, s.journal(i), i)
 	}
 	s.start("platform", "platform")
 	for i := range entries {
-		s.start("entry", name("entry", i))
+		s.start("entry", processName("entry", i))
 	}
 	for i := range agents {
-		s.start("agent", name("agent", i))
-		s.start("target", name("target", i))
+		s.start("agent", processName("agent", i))
+		s.start("target", processName("target", i))
 	}
 	return s
 }
 
-func name(role string, i int) string { return fmt.Sprintf("%s%d", role, i) }
+func processName(role string, i int) string { return fmt.Sprintf("%s%d", role, i) }
 
 func freeAddresses(t *testing.T, n int) (addrs []string) {
 	t.Helper()
@@ -109,7 +109,7 @@
 	return addrs
 }
 
-func (s *site) journal(i int) string { return filepath.Join(s.dir, name("journal", i)) }
+func (s *site) journal(i int) string { return filepath.Join(s.dir, processName("journal", i)) }
 
 func (s *site) write(file, format string, args ...any) {
 	s.t.Helper()
@@ -119,14 +119,14 @@
 	}
 }
 
-func (s *site) proxy(listen, upstream string) {
+func (s *site) addProxy(listen, upstream string) {
 	log := zerolog.Nop()
 	p := toxiproxy.NewProxy(toxiproxy.NewServer(toxiproxy.NewMetricsContainer(nil), log), upstream, listen, upstream)
 	if err := p.Start(); err != nil {
 		s.t.Fatal(err)
 	}
 	s.t.Cleanup(p.Stop)
-	s.proxies = append(s.proxies, p)
+	s.agentProxies = append(s.agentProxies, p)
 }
 
 // start starts the process that file configures.
@@ -144,13 +144,13 @@
 	_ = out.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.procs[file] = cmd
+	s.processes[file] = cmd
 }
 
 func (s *site) signal(file string, sig os.Signal) *exec.Cmd {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	cmd := s.procs[file]
+	cmd := s.processes[file]
 	if err := cmd.Process.Signal(sig); err != nil {
 		s.t.Errorf("signalling %s: %v", file, err)
 	}
@@ -171,7 +171,7 @@
 func (s *site) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, cmd := range s.procs {
+	for _, cmd := range s.processes {
 		_ = cmd.Process.Signal(syscall.SIGCONT)
 		_ = cmd.Process.Kill()
 		_ = cmd.Wait()
@@ -195,12 +195,12 @@
 // await waits until cond holds at entry i.
 func (s *site) await(i int, what string, cond func(entry.StatusReply) bool) {
 	s.t.Helper()
-	for end := time.Now().Add(awaitLimit); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(awaitTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if st, err := s.status(i); err == nil && cond(st) {
 			return
 		}
 	}
-	s.t.Fatalf("entry %d: %s did not come about in %v", i, what, awaitLimit)
+	s.t.Fatalf("entry %d: %s did not come about in %v", i, what, awaitTimeout)
 }
 
 // awaitAll waits until cond holds at every entry.
@@ -211,8 +211,8 @@
 	}
 }
 
-// ready reports whether n agents are listed and jobs run without claims.
-func ready(n int) func(entry.StatusReply) bool {
+// readyWithoutClaims reports whether n agents are listed and jobs run without claims.
+func readyWithoutClaims(n int) func(entry.StatusReply) bool {
 	return func(st entry.StatusReply) bool {
 		up := 0
 		for _, a := range st.Agents {
@@ -238,9 +238,9 @@
 	_ = resp.Body.Close()
 }
 
-// crowd submits jobs from several callers, who resubmit to the next entry when
+// workload submits jobs from several callers, who resubmit to the next entry when
 // they get no answer.
-type crowd struct {
+type workload struct {
 	s       *site
 	prefix  string
 	callers int
@@ -253,7 +253,7 @@
 	refusals   map[string]int
 }
 
-func (c *crowd) run() {
+func (c *workload) run() {
 	var wg sync.WaitGroup
 	for i := range c.callers {
 		wg.Go(func() {
@@ -267,13 +267,13 @@
 
 // submit submits one job until it is answered, waiting as long as refusals ask
 // for.
-func (c *crowd) submit(i, n int) {
+func (c *workload) submit(i, n int) {
 	req := entry.SubmitRequest{
 		Key: fmt.Sprintf("%s-%d-%d", c.prefix, i, n), Team: "laval", Service: "pickup",
 		Idempotent: n%4 == 3, Tasks: make([]entry.TaskRequest, c.tasks),
 	}
 	var err error
-	for end, try := time.Now().Add(awaitLimit), 0; time.Now().Before(end); try++ {
+	for end, try := time.Now().Add(awaitTimeout), 0; time.Now().Before(end); try++ {
 		var ans job.Answer
 		ans, err = load.Submit(context.Background(), c.s.url((i+n+try)%len(c.s.entries)), &req)
 		if err == nil {
@@ -283,7 +283,7 @@
 			return
 		}
 		req.Resubmission = true
-		c.refused(err)
+		c.countRefusal(err)
 		pause := 50 * time.Millisecond
 		if refused, ok := errors.AsType[*load.RefusedError](err); ok {
 			pause = max(pause, time.Duration(refused.RetryAfter*float64(time.Second)))
@@ -296,8 +296,8 @@
 	c.s.t.Log(err)
 }
 
-// refused counts the reasons for which callers had to try again.
-func (c *crowd) refused(err error) {
+// countRefusal counts the reasons for which callers had to try again.
+func (c *workload) countRefusal(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.refusals == nil {
@@ -306,8 +306,8 @@
 	c.refusals[errors.Cause(err).Error()]++
 }
 
-// judge compares the answers with the journals of the targets.
-func (s *site) judge(cs ...*crowd) (v demo.Verdict, failed int) {
+// checkAnswers compares the answers with the journals of the targets.
+func (s *site) checkAnswers(cs ...*workload) (v demo.Verdict, failed int) {
 	s.t.Helper()
 	var journals []map[target.Started]int
 	files, _ := filepath.Glob(filepath.Join(s.dir, "journal*"))
@@ -346,7 +346,7 @@
 }
 
 // submitLong submits one job of one task that runs for the given time.
-func (c *crowd) submitLong(millis int) {
+func (c *workload) submitLong(millis int) {
 	req := entry.SubmitRequest{
 		Key: c.prefix, Team: "laval", Service: "pickup",
 		Tasks: []entry.TaskRequest{{Payload: fmt.Appendf(nil, `{"runMillis":%d}`, millis)}},
