--- a/failure/callers_test.go
+++ b/failure/callers_test.go
@@ -9,53 +9,53 @@
 	"masticbay/job"
 )
 
-// workload is callers who submit jobs. Two callers share each key, as a caller and a
-// second one that takes over for it would.
+// workload describes callers that submit jobs. Two callers share each key, like a
+// caller and another one that takes over from it.
 type workload struct {
 	prefix   string
 	callers  int
-	jobs     int // for each caller
+	jobs     int // per caller
 	tasks    int
 	pause    time.Duration // after each answer
-	interval time.Duration // if set, from submission to submission, whatever is answered
-	until    time.Time     // if set, nothing new is submitted from then on
-	entries  []int         // entries that are asked; all if nil
+	interval time.Duration // if set, between submissions, without waiting for answers
+	until    time.Time     // if set, no job is submitted after it
+	entries  []int         // indexes of the entries to submit to; all if nil
 
 	idempotent   bool
-	resubmission bool // the keys were submitted before
+	resubmission bool // marks each submission as a resubmission of its key
 }
 
-// The times of a caller: after patience it asks the next entry, and it gives up
-// when the key may no longer be resubmitted.
+// The timeouts of a caller: after callTimeout it resubmits to the next entry. It
+// gives up when the key may no longer be resubmitted.
 const (
 	callTimeout   = 10 * time.Second
 	retryInterval = time.Second
 )
 
-// runWorkload returns when all jobs are answered or given up. It returns the number of
-// submissions that ended in each way.
-func (s *site) runWorkload(c *workload) (n tally) {
+// runWorkload submits all jobs and waits until each is answered or given up. It
+// returns the number of submissions by outcome.
+func (s *site) runWorkload(w *workload) (n tally) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex // guards n
-	one := func(caller, k int) {
-		ans, answered := s.submit(c, caller, k)
+	submitOne := func(caller, k int) {
+		ans, answered := s.submit(w, caller, k)
 		mu.Lock()
 		defer mu.Unlock()
 		n.add(&ans, answered)
 	}
-	for i := range c.callers {
+	for i := range w.callers {
 		wg.Go(func() {
-			for k := range c.jobs {
-				if !c.until.IsZero() && time.Now().After(c.until) {
+			for k := range w.jobs {
+				if !w.until.IsZero() && time.Now().After(w.until) {
 					return
 				}
-				if c.interval > 0 {
-					wg.Go(func() { one(i, k) })
-					time.Sleep(c.interval)
+				if w.interval > 0 {
+					wg.Go(func() { submitOne(i, k) })
+					time.Sleep(w.interval)
 					continue
 				}
-				one(i, k)
-				time.Sleep(c.pause)
+				submitOne(i, k)
+				time.Sleep(w.pause)
 			}
 		})
 	}
@@ -63,7 +63,7 @@
 	return n
 }
 
-// tally counts submissions by their end.
+// tally counts submissions by outcome.
 type tally struct {
 	complete, notRun, unknown, failed, unanswered int
 }
@@ -85,23 +85,24 @@
 
 func (n *tally) total() int { return n.complete + n.notRun + n.unknown + n.failed + n.unanswered }
 
-// submit submits a job until it is answered.
-func (s *site) submit(c *workload, caller, k int) (ans job.Answer, answered bool) {
+// submit submits a job, and resubmits it to the next entries until it is answered
+// or the window has passed.
+func (s *site) submit(w *workload, caller, k int) (ans job.Answer, answered bool) {
 	spec := job.Spec{
-		Key: job.MakeKey(team, fmt.Sprintf("%s-%d-%d", c.prefix, caller/2, k)), Team: team, Service: service,
-		Idempotent: c.idempotent, Resubmission: c.resubmission, Deadline: window / 2, Tasks: make([]job.Task, c.tasks),
+		Key: job.MakeKey(team, fmt.Sprintf("%s-%d-%d", w.prefix, caller/2, k)), Team: team, Service: service,
+		Idempotent: w.idempotent, Resubmission: w.resubmission, Deadline: window / 2, Tasks: make([]job.Task, w.tasks),
 	}
-	begin := time.Now()
-	for try := range int(window / retryInterval) {
-		call := time.Now()
-		ans, err := s.submitOnce(c.entryAt(s, caller+k+try), spec)
+	startedAt := time.Now()
+	for attempt := range int(window / retryInterval) {
+		calledAt := time.Now()
+		ans, err := s.submitOnce(w.entryAt(s, caller+k+attempt), spec)
 		if err == nil {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.ops = append(s.ops, op{caller: caller, answer: ans, calledAt: call, returnedAt: time.Now()})
+			s.ops = append(s.ops, op{caller: caller, answer: ans, calledAt: calledAt, returnedAt: time.Now()})
 			return ans, true
 		}
-		if time.Since(begin) > window {
+		if time.Since(startedAt) > window {
 			break
 		}
 		spec.Resubmission = true
@@ -110,15 +111,15 @@
 	return ans, false
 }
 
-// entryAt returns the number of the entry that is asked at the nth try.
-func (c *workload) entryAt(s *site, n int) int {
-	if c.entries == nil {
+// entryAt returns the index of the entry to submit to at the nth attempt.
+func (w *workload) entryAt(s *site, n int) int {
+	if w.entries == nil {
 		return n % len(s.entries)
 	}
-	return c.entries[n%len(c.entries)]
+	return w.entries[n%len(w.entries)]
 }
 
-// submitOnce submits to one entry and waits for as long as a caller would.
+// submitOnce submits to one entry and waits at most callTimeout.
 func (s *site) submitOnce(i int, spec job.Spec) (ans job.Answer, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
--- a/failure/conn_test.go
+++ b/failure/conn_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// conn is one end of a connection in memory. Writes never wait.
+// conn is one end of an in-memory connection. Writes never block.
 type conn struct {
 	in, out *stream
 }
@@ -35,9 +35,9 @@
 
 	mu           sync.Mutex // guards what follows
 	chunks       []chunk
-	writerClosed bool          // the writer has closed it
-	readerClosed bool          // the reader has closed it
-	updated      chan struct{} // closed and replaced when something of it changes
+	writerClosed bool          // the writer has closed the stream
+	readerClosed bool          // the reader has closed the stream
+	updated      chan struct{} // closed and replaced at every change of the stream
 }
 
 type chunk struct {
@@ -80,13 +80,13 @@
 func (s *stream) read(p []byte) (int, error) {
 	for {
 		blocked, changed := s.network.blocked(s.link)
-		n, wait, wake, err := s.readArrived(p, blocked)
+		n, wait, updated, err := s.readArrived(p, blocked)
 		if n > 0 || err != nil {
 			return n, err
 		}
 		timer := time.NewTimer(wait)
 		select {
-		case <-wake:
+		case <-updated:
 		case <-changed:
 		case <-timer.C:
 		}
@@ -94,11 +94,13 @@
 	}
 }
 
-// forever is the wait when only a change can bring something.
+// forever is the wait when only an update of the stream or the network can make
+// data available.
 const forever = 1000 * time.Hour
 
-// readArrived returns what has arrived, or how long to wait for it.
-func (s *stream) readArrived(p []byte, blocked bool) (n int, wait time.Duration, wake <-chan struct{}, err error) {
+// readArrived reads data that has arrived. If there is none, it returns how long
+// to wait for the next chunk, and a channel that is closed on an update.
+func (s *stream) readArrived(p []byte, blocked bool) (n int, wait time.Duration, updated <-chan struct{}, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
--- a/failure/drain_test.go
+++ b/failure/drain_test.go
@@ -8,10 +8,11 @@
 	"masticbay/table"
 )
 
-// drainLimit is the time after which a target that leaves gets no new start.
+// drainLimit is the time after which a leaving target must get no more starts.
 const drainLimit = 2 * time.Second
 
-// leaveMethods are how a target leaves: by its row, by its own word, or with its agent.
+// leaveMethods are the ways in which a target leaves: by its row of the table, by
+// its own announcement, or with its agent.
 var leaveMethods = map[string]func(s *site, i int){
 	"row drained": func(s *site, i int) { s.setTarget(i, table.Row{Weight: 1, Drain: true}) },
 	"row removed": func(s *site, i int) {
@@ -19,8 +20,8 @@
 		s.setTarget(i, table.Row{Weight: 1, Removed: true})
 	},
 	"target leaves": func(s *site, i int) {
-		d := s.targets[i]
-		if err := s.agent(i).Hear(d.leavingAnnouncement()); err != nil {
+		f := s.targets[i]
+		if err := s.agent(i).Hear(f.leavingAnnouncement()); err != nil {
 			s.t.Error(err)
 		}
 	},
@@ -41,17 +42,17 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			runWithSite(t, 3, func(t *testing.T, s *site) {
-				end := time.Now().Add(30 * time.Second)
-				s.goroutines.Go(func() { s.runWorkload(&workload{prefix: "flood", callers: 12, jobs: 1000, tasks: 3, until: end}) })
+				endAt := time.Now().Add(30 * time.Second)
+				s.goroutines.Go(func() { s.runWorkload(&workload{prefix: "flood", callers: 12, jobs: 1000, tasks: 3, until: endAt}) })
 				time.Sleep(5 * time.Second)
 				leave(s, 0)
 				time.Sleep(drainLimit)
-				before, others := s.targets[0].journal.Total(), s.targets[1].journal.Total()
-				time.Sleep(time.Until(end))
+				before, otherBefore := s.targets[0].journal.Total(), s.targets[1].journal.Total()
+				time.Sleep(time.Until(endAt))
 				after := s.targets[0].journal.Total()
-				t.Logf("%d starts before, %d after", before, after-before)
-				if before == 0 || after > before || s.targets[1].journal.Total() == others {
-					t.Errorf("%d starts before it left, %d after the limit", before, after-before)
+				t.Logf("%d starts before the limit, %d after", before, after-before)
+				if before == 0 || after > before || s.targets[1].journal.Total() == otherBefore {
+					t.Errorf("%d starts before the limit, %d after", before, after-before)
 				}
 			})
 		})
--- a/failure/fleet_config_test.go
+++ b/failure/fleet_config_test.go
@@ -11,10 +11,10 @@
 	"masticbay/work"
 )
 
-// The users' bounds on a configuration.
+// The users' bounds on changes of the configuration and on recovery.
 const (
-	configApplyLimit = 2 * time.Second // from the store's acknowledgement until it is in force everywhere
-	recoveryLimit    = 12 * time.Second
+	configApplyLimit = 2 * time.Second  // from the store's acknowledgement until the change is in force at every entry
+	recoveryLimit    = 12 * time.Second // from a restart of all processes until jobs are served
 )
 
 // versionQueue is a queue that only one version of the configuration has.
@@ -24,8 +24,8 @@
 	return q
 }
 
-// inForce returns the version that an entry has in force, of those up to newest,
-// or 0 if it does not answer.
+// inForce returns the newest version, up to the given one, that an entry has in
+// force, or 0 if the entry does not answer.
 func (s *fleet) inForce(c *http.Client, entry, newest int) int {
 	for v := newest; v > 0; v-- {
 		ctx, cancel := context.WithTimeout(s.ctx, 200*time.Millisecond)
@@ -35,22 +35,22 @@
 			s.t.Fatal(err)
 		}
 		r.Host = standin.Host
-		rep, err := c.Do(r)
+		reply, err := c.Do(r)
 		cancel()
 		if err != nil {
 			return 0
 		}
-		_ = rep.Body.Close()
-		if rep.StatusCode == http.StatusOK {
+		_ = reply.Body.Close()
+		if reply.StatusCode == http.StatusOK {
 			return v
 		}
 	}
 	return 0
 }
 
-// TestConfigurationIsInForceAndNeverReverts changes the configuration each three
-// seconds while the store or an entry fails, and asks every entry all the time
-// which version it serves.
+// TestConfigurationIsInForceAndNeverReverts changes the configuration every three
+// seconds while the store or a connection fails, and keeps asking every entry
+// which version it has in force.
 func TestConfigurationIsInForceAndNeverReverts(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -74,11 +74,11 @@
 	}
 }
 
-// checkConfigChanges writes versions, three seconds apart, and checks what the entries
-// have in force meanwhile.
+// checkConfigChanges writes versions three seconds apart, and meanwhile checks
+// which version each entry has in force.
 func (s *fleet) checkConfigChanges(versions int) {
 	c := &http.Client{Transport: &http.Transport{DialContext: s.dial("caller"), DisableKeepAlives: true}}
-	seen := make([]int, fleetEntries)
+	highest := make([]int, fleetEntries)
 	for v := 2; v < 2+versions; v++ {
 		if err := s.store.PutConfig(v, pingQueue, longQueue, versionQueue(v)); err != nil {
 			s.t.Fatal(err)
@@ -86,14 +86,14 @@
 		written := time.Now()
 		for time.Since(written) < 3*time.Second {
 			for i := range fleetEntries {
-				asked := time.Since(written)
-				have := s.inForce(c, i, v)
-				if have > 0 && have < seen[i] {
-					s.t.Errorf("entry %d: version %d in force after version %d", i, have, seen[i])
+				elapsed := time.Since(written)
+				current := s.inForce(c, i, v)
+				if current > 0 && current < highest[i] {
+					s.t.Errorf("entry %d: version %d in force after version %d", i, current, highest[i])
 				}
-				seen[i] = max(seen[i], have)
-				if asked > configApplyLimit && have != v {
-					s.t.Errorf("entry %d: version %d in force %s after version %d was written", i, have, asked, v)
+				highest[i] = max(highest[i], current)
+				if elapsed > configApplyLimit && current != v {
+					s.t.Errorf("entry %d: version %d in force %s after version %d was written", i, current, elapsed, v)
 					return
 				}
 			}
@@ -102,8 +102,8 @@
 	}
 }
 
-// TestEntryStartedWithoutStoreHasNewestConfiguration: the store is down
-// when an entry starts anew, and others have the configuration.
+// TestEntryStartedWithoutStoreHasNewestConfiguration restarts an entry while the
+// store is down: it must get the newest configuration from the other entries.
 func TestEntryStartedWithoutStoreHasNewestConfiguration(t *testing.T) {
 	runWithFleet(t, func(t *testing.T, s *fleet) {
 		c := &http.Client{Transport: &http.Transport{DialContext: s.dial("caller"), DisableKeepAlives: true}}
@@ -116,15 +116,15 @@
 		time.Sleep(time.Second)
 		s.startEntry(2)
 		time.Sleep(time.Second)
-		if have := s.inForce(c, 2, 2); have != 2 {
-			t.Errorf("version %d in force, want 2", have)
+		if current := s.inForce(c, 2, 2); current != 2 {
+			t.Errorf("version %d in force, want 2", current)
 		}
 		s.store.Set(standin.StoreFaults{})
 	})
 }
 
-// TestAllProcessesRestart: all that is left is the store. Jobs that come after
-// the users' bound are served.
+// TestAllProcessesRestart kills all entries and agents, so that only the store
+// keeps its state. Jobs submitted after the users' recovery bound must complete.
 func TestAllProcessesRestart(t *testing.T) {
 	runWithFleet(t, func(_ *testing.T, s *fleet) {
 		for i := range fleetEntries {
--- a/failure/fleet_faults_test.go
+++ b/failure/fleet_faults_test.go
@@ -9,13 +9,13 @@
 	"masticbay/platform/standin"
 )
 
-// wantCompleted checks how many of the answered jobs completed.
-func (s *fleet) wantCompleted(least float64) {
+// wantCompleted checks that at least a share of the jobs completed.
+func (s *fleet) wantCompleted(minShare float64) {
 	s.t.Helper()
 	answered, completed, rejected := s.counts()
-	s.t.Logf("%d answered, %d completed, %d rejected, %d requests without an answer", answered, completed, rejected, s.unanswered)
-	if float64(completed) < least*float64(answered+s.unanswered) || answered == 0 {
-		s.t.Errorf("%d of %d jobs completed, want %.0f%%", completed, answered+s.unanswered, 100*least)
+	s.t.Logf("%d answered, %d completed, %d rejected, %d requests unanswered", answered, completed, rejected, s.unanswered)
+	if float64(completed) < minShare*float64(answered+s.unanswered) || answered == 0 {
+		s.t.Errorf("%d of %d jobs completed, want %.0f%%", completed, answered+s.unanswered, 100*minShare)
 	}
 }
 
@@ -26,10 +26,10 @@
 	})
 }
 
-// fleetFault is something that fails for a while.
+// fleetFault is one kind of temporary failure.
 type fleetFault struct {
 	name     string
-	minShare float64 // part of the requests that completes nevertheless
+	minShare float64 // share of the requests that must still complete
 	fault    func(s *fleet)
 }
 
@@ -99,8 +99,8 @@
 	{"worker drains", 1, func(s *fleet) { s.workers[1].Drain() }},
 }
 
-// TestFleetUnderFaults loads all entries while one thing fails for a while. What
-// onFleet judges must hold in every case; most jobs complete.
+// TestFleetUnderFaults loads all entries while one fault is injected. The
+// invariants must hold in every case, and most jobs must complete.
 func TestFleetUnderFaults(t *testing.T) {
 	for _, tc := range fleetFaults {
 		t.Run(tc.name, func(t *testing.T) {
@@ -120,9 +120,9 @@
 	}
 }
 
-// TestLeavingEntryAnswersEveryCaller: the balancer goes on to send callers to an entry
-// that stops, as it does when too few others of its data centre are left. None
-// of them may lose its connection without an answer.
+// TestLeavingEntryAnswersEveryCaller keeps sending requests to an entry that
+// stops, as the load balancer does when too few other entries of the data centre
+// are left. No request may lose its connection without an answer.
 func TestLeavingEntryAnswersEveryCaller(t *testing.T) {
 	runWithFleet(t, func(t *testing.T, s *fleet) {
 		leaving := (s.home() + 1) % fleetEntries
@@ -145,7 +145,7 @@
 	})
 }
 
-// wantOneHome checks that the entries agree again some time after the fault.
+// wantOneHome checks that exactly one entry is home 2 s after the fault.
 func (s *fleet) wantOneHome() {
 	s.t.Helper()
 	time.Sleep(2 * time.Second)
@@ -156,30 +156,31 @@
 		}
 	}
 	if homes != 1 {
-		s.t.Errorf("%d entries act as home, want 1", homes)
+		s.t.Errorf("%d entries are home, want 1", homes)
 	}
 }
 
-func (s *fleet) pauseFor(host string, span time.Duration) {
+func (s *fleet) pauseFor(host string, duration time.Duration) {
 	s.network.pause(host, true)
-	time.Sleep(span)
+	time.Sleep(duration)
 	s.network.pause(host, false)
 }
 
-// cutFor cuts both directions between two hosts and heals them later.
-func (s *fleet) cutFor(a, b string, span time.Duration) {
+// cutFor cuts both directions between two hosts and restores them after duration.
+func (s *fleet) cutFor(a, b string, duration time.Duration) {
 	s.network.cut(a, b, true)
 	s.network.cut(b, a, true)
-	time.AfterFunc(span, func() {
+	time.AfterFunc(duration, func() {
 		s.network.cut(a, b, false)
 		s.network.cut(b, a, false)
 	})
 }
 
-// leaveOrdersUnanswered lets every twelfth order to a worker get no answer, for a while.
-func (s *fleet) leaveOrdersUnanswered(late time.Duration) {
+// leaveOrdersUnanswered makes each worker leave every twelfth order unanswered
+// for 3 s and execute it after a delay, or never if the delay is 0.
+func (s *fleet) leaveOrdersUnanswered(executeAfter time.Duration) {
 	for _, w := range s.workers {
-		w.Set(standin.WorkerFaults{Mute: func(n int) bool { return n%12 == 0 }, Late: late})
+		w.Set(standin.WorkerFaults{Mute: func(n int) bool { return n%12 == 0 }, Late: executeAfter})
 	}
 	time.Sleep(3 * time.Second)
 	for _, w := range s.workers {
--- a/failure/fleet_pairs_test.go
+++ b/failure/fleet_pairs_test.go
@@ -9,19 +9,19 @@
 )
 
 var (
-	pairsFlag = flag.Int("pairs", 8, "pairs of faults of a fleet to run; all of them if there are not more")
-	pairsSeed = flag.Uint64("pairsSeed", 1, "seed that chooses the pairs")
+	pairsFlag = flag.Int("pairs", 8, "number of fault pairs of a fleet to run, at most all of them")
+	pairsSeed = flag.Uint64("pairsSeed", 1, "random seed for the choice of the pairs")
 )
 
-// endedProcess tells which faults end a process, and of which kind: two that may end the
-// same one are not paired.
+// endedProcess maps the faults that end a process to the kind of the process. Two
+// faults that may end the same process are not paired.
 var endedProcess = map[string]string{"home killed": "entry", "entry leaves": "entry", "agent killed": "agent"}
 
-// minShareInPairs is the part of the requests that completes under two faults. It
-// is the least floor of the users' days with trouble.
+// minShareInPairs is the share of the requests that must complete under two
+// faults. It is the lowest minimum that the users set for days with failures.
 const minShareInPairs = 0.377
 
-// TestFleetUnderPairsOfFaults lets a second thing fail while the first one does.
+// TestFleetUnderPairsOfFaults injects a second fault while the first one lasts.
 func TestFleetUnderPairsOfFaults(t *testing.T) {
 	var pairs [][2]fleetFault
 	for i, a := range fleetFaults {
@@ -52,5 +52,5 @@
 	}
 }
 
-// faultDelay is less than any fault lasts.
+// faultDelay is the time between two faults. It is shorter than any fault lasts.
 const faultDelay = 300 * time.Millisecond
--- a/failure/fleet_stored_test.go
+++ b/failure/fleet_stored_test.go
@@ -12,141 +12,141 @@
 	"masticbay/work"
 )
 
-// storedJobs are the stored jobs of a test.
+// storedJobs records what callers learned about the stored jobs of a test.
 type storedJobs struct {
-	s *fleet
+	fleet *fleet
 
 	mu          sync.Mutex // guards what follows
 	acceptedAt  map[string]time.Time
-	lastState   map[string]work.State // last that was told
-	unknown     []string              // accepted jobs that an entry did not know
-	rejected    int
-	cancelledAt map[string]time.Time // when that was acknowledged
+	lastState   map[string]work.State // last state that an entry reported
+	unknown     []string              // accepted jobs that an entry reported as unknown
+	notAccepted int
+	cancelledAt map[string]time.Time // when the cancellation was acknowledged
 }
 
-// The pauses of a caller of stored jobs.
+// The intervals and timeouts of callers of stored jobs.
 const (
 	pollInterval      = 150 * time.Millisecond
-	storedCallTimeout = 1500 * time.Millisecond // for the answer to one request
-	cancelLimit       = 3 * time.Second         // from the acknowledgement of a cancellation until nothing starts any more; the users' bound
-	storedJobTimeout  = 20 * time.Second        // from the acceptance of a job; faults last a few seconds, and recovery 12
+	storedCallTimeout = 1500 * time.Millisecond // until a request counts as unanswered
+	cancelLimit       = 3 * time.Second         // from the acknowledgement of a cancellation until no task may start; the users' bound
+	storedJobTimeout  = 20 * time.Second        // from the acceptance of a job until its end; faults last a few seconds, and recovery 12
 )
 
 func (s *fleet) caller() standin.Caller {
 	return standin.Caller{Client: &http.Client{Transport: &http.Transport{DialContext: s.dial("caller"), DisableKeepAlives: true}}, Waits: storedCallTimeout}
 }
 
-// loadStored submits stored jobs of two steps for a while and waits for their ends.
-// Each fifth is cancelled soon.
-func (s *fleet) loadStored(span time.Duration) *storedJobs {
-	p := &storedJobs{s: s, acceptedAt: make(map[string]time.Time), lastState: make(map[string]work.State), cancelledAt: make(map[string]time.Time)}
+// loadStored submits stored jobs of two steps for a while and waits until they
+// end. It cancels every fifth job right after its acceptance.
+func (s *fleet) loadStored(duration time.Duration) *storedJobs {
+	j := &storedJobs{fleet: s, acceptedAt: make(map[string]time.Time), lastState: make(map[string]work.State), cancelledAt: make(map[string]time.Time)}
 	var callers sync.WaitGroup
-	for k := 0; k < int(span/(50*time.Millisecond)); k++ {
+	for k := 0; k < int(duration/(50*time.Millisecond)); k++ {
 		id := fmt.Sprintf("%d%015x", 1+2*(k%3), k)
-		callers.Go(func() { p.runCaller(k, id) })
+		callers.Go(func() { j.runCaller(k, id) })
 		time.Sleep(50 * time.Millisecond)
 	}
 	callers.Wait()
-	return p
+	return j
 }
 
-// runCaller plays the caller of one job.
-func (p *storedJobs) runCaller(k int, id string) {
-	c := p.s.caller()
-	est := time.Duration(id[0]-'0') * 100 * time.Millisecond
-	first := work.Step{Count: 2, Room: work.Room{CPU: taskCPU}, Estimate: est}
-	second := work.Step{Count: 1, Room: work.Room{CPU: taskCPU}, Estimate: est, After: []int{0}}
-	for try := 0; ; try++ {
-		rep, err := c.Store(p.s.ctx, p.s.frontAddress(k+try), longQueue.Name, id, first, second)
-		if err == nil && rep.Status == http.StatusOK {
+// runCaller submits one job, cancels it or not, and polls its state.
+func (j *storedJobs) runCaller(k int, id string) {
+	c := j.fleet.caller()
+	estimate := time.Duration(id[0]-'0') * 100 * time.Millisecond
+	first := work.Step{Count: 2, Room: work.Room{CPU: taskCPU}, Estimate: estimate}
+	second := work.Step{Count: 1, Room: work.Room{CPU: taskCPU}, Estimate: estimate, After: []int{0}}
+	for attempt := 0; ; attempt++ {
+		reply, err := c.Store(j.fleet.ctx, j.fleet.frontAddress(k+attempt), longQueue.Name, id, first, second)
+		if err == nil && reply.Status == http.StatusOK {
 			break
 		}
-		if try == 3 {
-			p.mu.Lock()
-			p.rejected++
-			p.mu.Unlock()
+		if attempt == 3 {
+			j.mu.Lock()
+			j.notAccepted++
+			j.mu.Unlock()
 			return
 		}
 		time.Sleep(1300 * time.Millisecond)
 	}
-	p.mu.Lock()
-	p.acceptedAt[id] = time.Now()
-	p.mu.Unlock()
+	j.mu.Lock()
+	j.acceptedAt[id] = time.Now()
+	j.mu.Unlock()
 	if k%5 == 0 {
-		p.cancel(k, id)
+		j.cancel(k, id)
 	}
-	p.pollState(k, id)
+	j.pollState(k, id)
 }
 
-func (p *storedJobs) cancel(k int, id string) {
-	c := p.s.caller()
-	rep, err := c.Cancel(p.s.ctx, p.s.frontAddress(k+1), longQueue.Name, id)
-	if err == nil && rep.Status == http.StatusOK && rep.State == work.Cancelled {
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		p.cancelledAt[id] = time.Now()
+func (j *storedJobs) cancel(k int, id string) {
+	c := j.fleet.caller()
+	reply, err := c.Cancel(j.fleet.ctx, j.fleet.frontAddress(k+1), longQueue.Name, id)
+	if err == nil && reply.Status == http.StatusOK && reply.State == work.Cancelled {
+		j.mu.Lock()
+		defer j.mu.Unlock()
+		j.cancelledAt[id] = time.Now()
 	}
 }
 
-// pollState asks for the state until the job has ended, each time at another entry.
-func (p *storedJobs) pollState(k int, id string) {
-	c := p.s.caller()
-	for end := time.Now().Add(storedJobTimeout); time.Now().Before(end); time.Sleep(pollInterval) {
+// pollState polls the state of a job until it ends, each time at the next entry.
+func (j *storedJobs) pollState(k int, id string) {
+	c := j.fleet.caller()
+	for deadline := time.Now().Add(storedJobTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		k++
-		rep, err := c.State(p.s.ctx, p.s.frontAddress(k), longQueue.Name, id)
+		reply, err := c.State(j.fleet.ctx, j.fleet.frontAddress(k), longQueue.Name, id)
 		if err != nil {
 			continue
 		}
-		p.mu.Lock()
-		if rep.Status == http.StatusGone {
-			p.unknown = append(p.unknown, id)
-		} else if rep.Status == http.StatusOK {
-			p.lastState[id] = rep.State
+		j.mu.Lock()
+		if reply.Status == http.StatusGone {
+			j.unknown = append(j.unknown, id)
+		} else if reply.Status == http.StatusOK {
+			j.lastState[id] = reply.State
 		}
-		p.mu.Unlock()
-		if rep.State == work.Completed || rep.State == work.JobFailed || rep.State == work.Cancelled {
+		j.mu.Unlock()
+		if reply.State == work.Completed || reply.State == work.JobFailed || reply.State == work.Cancelled {
 			return
 		}
 	}
 }
 
-// checkPromises checks the promises to callers of stored jobs.
-func (p *storedJobs) checkPromises(t *testing.T, least int) {
+// checkGuarantees checks the guarantees to callers of stored jobs.
+func (j *storedJobs) checkGuarantees(t *testing.T, minCount int) {
 	t.Helper()
-	workers := p.s.workers[:]
-	for _, wrong := range standin.Repeats(workers...) {
-		t.Error(wrong)
+	workers := j.fleet.workers[:]
+	for _, violation := range standin.Repeats(workers...) {
+		t.Error(violation)
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	t.Logf("%d accepted, %d not, %d cancelled", len(p.acceptedAt), p.rejected, len(p.cancelledAt))
-	if len(p.acceptedAt) < least {
-		t.Errorf("%d jobs accepted, want %d", len(p.acceptedAt), least)
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	t.Logf("%d accepted, %d not accepted, %d cancelled", len(j.acceptedAt), j.notAccepted, len(j.cancelledAt))
+	if len(j.acceptedAt) < minCount {
+		t.Errorf("%d jobs accepted, want %d", len(j.acceptedAt), minCount)
 	}
-	if len(p.unknown) > 0 {
-		slices.Sort(p.unknown)
-		t.Errorf("accepted jobs were not known: %v", slices.Compact(p.unknown))
+	if len(j.unknown) > 0 {
+		slices.Sort(j.unknown)
+		t.Errorf("accepted jobs were unknown at an entry: %v", slices.Compact(j.unknown))
 	}
-	for id := range p.acceptedAt {
-		at, gone := p.cancelledAt[id]
+	for id := range j.acceptedAt {
+		at, cancelled := j.cancelledAt[id]
 		switch {
-		case gone && standin.RanAfter(at.Add(cancelLimit), id, workers...):
+		case cancelled && standin.RanAfter(at.Add(cancelLimit), id, workers...):
 			t.Errorf("job %s ran after its cancellation was acknowledged", id)
-		case gone && p.lastState[id] != work.Cancelled, !gone && p.lastState[id] != work.Completed && p.lastState[id] != work.Cancelled:
-			t.Errorf("job %s is %q in the end", id, p.lastState[id])
+		case cancelled && j.lastState[id] != work.Cancelled, !cancelled && j.lastState[id] != work.Completed && j.lastState[id] != work.Cancelled:
+			t.Errorf("job %s: last reported state %q", id, j.lastState[id])
 		}
 	}
 }
 
-// restartAll kills all processes of the system and starts them again.
-func (s *fleet) restartAll(down time.Duration) {
+// restartAll kills all entries and agents and starts them again after a downtime.
+func (s *fleet) restartAll(downtime time.Duration) {
 	for i := range fleetEntries {
 		s.entry(i).Kill()
 	}
 	for i := range fleetAgents {
 		s.agent(i).Kill()
 	}
-	time.Sleep(down)
+	time.Sleep(downtime)
 	for i := range fleetEntries {
 		s.startEntry(i)
 	}
@@ -155,7 +155,7 @@
 	}
 }
 
-// storedFaults are faults of the store and of everything at once.
+// storedFaults are faults of the store and of all processes at once.
 var storedFaults = []fleetFault{
 	{"nothing", 0, func(*fleet) {}},
 	{"everything killed", 0, func(s *fleet) { s.restartAll(time.Second) }},
@@ -165,7 +165,7 @@
 		time.Sleep(900 * time.Millisecond)
 		s.restartAll(500 * time.Millisecond)
 	}},
-	// Nothing is accepted for most of the time, but what was accepted completes.
+	// No job is accepted for most of the time, but accepted jobs complete.
 	{"store down for longer than a tenure", 0.15, func(s *fleet) {
 		s.store.Set(standin.StoreFaults{Down: true})
 		time.Sleep(8 * time.Second)
@@ -205,18 +205,19 @@
 	}},
 }
 
-// minAccepted returns how many of a hundred jobs are accepted at least: half, since callers
-// submit again for four seconds, unless a fault says less.
-func minAccepted(part float64) int {
-	if part > 0 && part < 0.5 {
-		return int(100 * part)
+// minAccepted returns how many of a hundred jobs must be accepted: half, since
+// callers resubmit for four seconds, or the minimum share of the fault if that is
+// less.
+func minAccepted(share float64) int {
+	if share > 0 && share < 0.5 {
+		return int(100 * share)
 	}
 	return 50
 }
 
-// TestStoredJobsUnderFaults: a job that was accepted is known at every entry,
-// completes, runs no task again that was done, and does not run once its
-// cancellation was acknowledged.
+// TestStoredJobsUnderFaults checks that an accepted job is known at every entry,
+// completes, repeats no finished task, and starts no task later than the users'
+// bound after its cancellation was acknowledged.
 func TestStoredJobsUnderFaults(t *testing.T) {
 	for _, tc := range append(storedFaults, fleetFaults...) {
 		t.Run(tc.name, func(t *testing.T) {
@@ -227,9 +228,9 @@
 					time.Sleep(time.Second)
 					tc.fault(s)
 				}()
-				p := s.loadStored(5 * time.Second)
+				j := s.loadStored(5 * time.Second)
 				<-done
-				p.checkPromises(t, minAccepted(tc.minShare))
+				j.checkGuarantees(t, minAccepted(tc.minShare))
 			})
 		})
 	}
--- a/failure/fleet_test.go
+++ b/failure/fleet_test.go
@@ -25,11 +25,11 @@
 	"masticbay/work"
 )
 
-// The size of a fleet on the users' platform, in one bubble.
+// The size of the fleet on the users' platform.
 const (
 	fleetEntries = 3
 	fleetAgents  = 4
-	fleetTasks   = 8 // that one worker runs at once
+	fleetTasks   = 8 // tasks that one worker runs at once
 	taskCPU      = 1000
 )
 
@@ -39,8 +39,8 @@
 	longQueue = work.Queue{Name: "long", Service: service, Priority: 2, MaxAttempts: 3, Stretch: 1.6, Target: 60 * time.Millisecond}
 )
 
-// showLogs lets the duties of a fleet write their logs to standard error.
-var showLogs = flag.Bool("logs", false, "print the logs of the duties of fleets")
+// showLogs makes the entries and agents of a fleet log to standard error.
+var showLogs = flag.Bool("logs", false, "print the logs of the entries and agents of a fleet")
 
 func fleetLog(node string) zerolog.Logger {
 	if !*showLogs {
@@ -49,8 +49,8 @@
 	return zerolog.New(os.Stderr).With().Str("node", node).Timestamp().Logger()
 }
 
-// fleet is an installation on the users' platform: whole duties of entries and
-// agents, stand-ins of the store and of workers, on a network in memory.
+// fleet is an installation on the users' platform: complete entries and agents,
+// and stand-ins for the store and the workers, on an in-memory network.
 type fleet struct {
 	t          *testing.T
 	network    *network
@@ -64,14 +64,15 @@
 	entries       [fleetEntries]*daemon.Entry
 	agents        [fleetAgents]*daemon.Agent
 	replies       map[string]standin.Reply
-	repliedAt     map[string]time.Time // when the reply came
-	mayHaveRun    map[string]bool      // jobs of which an earlier submission may have run
-	outOfRotation [fleetEntries]bool   // entries out of the balancer's rotation
+	repliedAt     map[string]time.Time // when the reply arrived
+	mayHaveRun    map[string]bool      // jobs that may have run after an earlier submission
+	outOfRotation [fleetEntries]bool   // entries that the load balancer does not use
 	unanswered    int                  // requests without an answer
-	brokenConns   int                  // of them those whose connection was taken and ended
+	brokenConns   int                  // unanswered requests whose connection was accepted and then closed
 }
 
-// runWithFleet runs f in a bubble on a fleet that has found itself, and judges it.
+// runWithFleet runs f in a bubble on a fleet whose members have found each other,
+// and then checks the invariants.
 func runWithFleet(t *testing.T, f func(t *testing.T, s *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFleet(t)
@@ -107,8 +108,8 @@
 	return s
 }
 
-// taskRunTime is how long the tasks of a job take: its first digit in tenths of a
-// second.
+// taskRunTime returns the run time of a task: the first digit of its job's ID, in
+// tenths of a second.
 func taskRunTime(task string, _ int) (time.Duration, bool) {
 	return time.Duration(task[0]-'0') * 100 * time.Millisecond, false
 }
@@ -129,11 +130,12 @@
 	}
 }
 
-// dialTimeout ends attempts to connect over a cut, as the processes' own dialers do.
+// dialTimeout bounds attempts to connect over a cut link, as the dialers of the
+// real processes do.
 const dialTimeout = time.Second
 
-// webHost is a host that also connects to addresses to which an HTTP client has
-// added its default port.
+// webHost is a host that strips the default port which an HTTP client appends to
+// an address.
 type webHost struct{ host }
 
 // Dial implements wire.Network.
@@ -186,42 +188,44 @@
 	return s.agents[i]
 }
 
-// home returns the number of the entry that acts as home.
+// home returns the index of the entry that is home, the coordinator that places
+// the tasks.
 func (s *fleet) home() int {
 	for i := range fleetEntries {
 		if s.entry(i).IsHome() {
 			return i
 		}
 	}
-	s.t.Fatal("no entry acts as home")
+	s.t.Fatal("no entry is home")
 	return 0
 }
 
-// load submits jobs at some entries for a while and waits for the answers. A
-// test calls it once.
-func (s *fleet) load(span time.Duration, entries ...int) {
+// load submits jobs to the given entries for a while and waits for the answers. A
+// test calls it only once, since the job IDs repeat.
+func (s *fleet) load(duration time.Duration, entries ...int) {
 	var callers sync.WaitGroup
-	for k := 0; k < int(span/(25*time.Millisecond)); k++ {
-		q, tasks := pingQueue, 4
+	for k := 0; k < int(duration/(25*time.Millisecond)); k++ {
+		queue, tasks := pingQueue, 4
 		id := fmt.Sprintf("1%015x", k)
 		if k%8 == 0 {
-			q, tasks, id = longQueue, 2, fmt.Sprintf("9%015x", k)
+			queue, tasks, id = longQueue, 2, fmt.Sprintf("9%015x", k)
 		}
-		callers.Go(func() { s.submit(entries[k%len(entries)], q, id, tasks) })
+		callers.Go(func() { s.submit(entries[k%len(entries)], queue, id, tasks) })
 		time.Sleep(25 * time.Millisecond)
 	}
 	callers.Wait()
 }
 
-// submit submits a job, and again where a connection broke, as callers do.
-func (s *fleet) submit(entry int, q work.Queue, id string, tasks int) {
-	c := standin.Caller{Client: &http.Client{Transport: &http.Transport{DialContext: s.dial("caller"), DisableKeepAlives: true}}, Waits: 6 * time.Second}
+// submit submits a job, and resubmits it once to the next entry if it gets no
+// answer, as callers do.
+func (s *fleet) submit(entry int, queue work.Queue, id string, tasks int) {
+	caller := standin.Caller{Client: &http.Client{Transport: &http.Transport{DialContext: s.dial("caller"), DisableKeepAlives: true}}, Waits: 6 * time.Second}
 	step := work.Step{Count: tasks, Room: work.Room{CPU: taskCPU}, Estimate: time.Duration(id[0]-'0') * 100 * time.Millisecond}
-	for try := range 2 {
-		rep, err := c.Submit(s.ctx, s.frontAddress(entry+try), q.Name, id, step)
+	for attempt := range 2 {
+		reply, err := caller.Submit(s.ctx, s.frontAddress(entry+attempt), queue.Name, id, step)
 		s.mu.Lock()
-		if err == nil && rep.Status != http.StatusGatewayTimeout {
-			s.replies[id], s.repliedAt[id] = rep, time.Now()
+		if err == nil && reply.Status != http.StatusGatewayTimeout {
+			s.replies[id], s.repliedAt[id] = reply, time.Now()
 			s.mu.Unlock()
 			return
 		}
@@ -235,7 +239,8 @@
 	}
 }
 
-// frontAddress returns the front address of an entry that the balancer uses.
+// frontAddress returns the front address of the first entry, from the given one
+// on, that the load balancer uses.
 func (s *fleet) frontAddress(entry int) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -245,11 +250,11 @@
 	return fmt.Sprint("f", entry%fleetEntries)
 }
 
-// setInRotation takes an entry out of the balancer's rotation, or back.
-func (s *fleet) setInRotation(entry int, in bool) {
+// setInRotation sets whether the load balancer uses an entry.
+func (s *fleet) setInRotation(entry int, used bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.outOfRotation[entry] = !in
+	s.outOfRotation[entry] = !used
 }
 
 // counts returns how many jobs were answered, completed and rejected.
@@ -267,28 +272,28 @@
 	return len(s.replies), completed, rejected
 }
 
-// checkInvariants checks what must hold whatever failed.
+// checkInvariants checks what must hold under every failure.
 func (s *fleet) checkInvariants() {
 	s.t.Helper()
-	for _, wrong := range standin.Overlaps(s.workers[:]...) {
-		s.t.Error(wrong)
+	for _, violation := range standin.Overlaps(s.workers[:]...) {
+		s.t.Error(violation)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, r := range s.replies {
 		s.checkRejection(id, &r)
 		if r.Status == http.StatusServiceUnavailable && r.RetryAfter <= 0 {
-			s.t.Errorf("job %s was rejected without a time to come back", id)
+			s.t.Errorf("job %s was rejected without a retry-after time", id)
 		}
 		if r.State == work.JobFailed {
-			s.t.Errorf("job %s failed although no task does", id)
+			s.t.Errorf("job %s failed although no task failed", id)
 		}
 	}
 }
 
-// checkRejection checks that a job that was rejected has not run. One that was
-// submitted before and got no answer, or was said to be unknown, may have run
-// then, but not later.
+// checkRejection checks that a rejected job has not run. If an earlier submission
+// got no answer or a gateway timeout, the job may have run before the rejection,
+// but not after it.
 func (s *fleet) checkRejection(id string, r *standin.Reply) {
 	since := time.Time{}
 	if s.mayHaveRun[id] {
@@ -310,5 +315,5 @@
 	s.mu.Unlock()
 	s.stop()
 	s.goroutines.Wait()
-	time.Sleep(settleTime) // calls that wait end by their own limits
+	time.Sleep(settleTime) // pending calls end by their own timeouts
 }
--- a/failure/history_test.go
+++ b/failure/history_test.go
@@ -11,7 +11,7 @@
 	"masticbay/job"
 )
 
-// op is one submission that was answered.
+// op is one answered submission.
 type op struct {
 	caller     int
 	answer     job.Answer
@@ -27,23 +27,24 @@
 	return m
 }
 
-// jobKeyModel is a job key as callers see it: nothing has run, or the results of
-// its only run, which all complete answers show. An answer that proves that a
-// task did not run comes before the run; other failed answers prove nothing.
+// jobKeyModel models a job key as callers see it. The state is empty before the
+// run, and then holds the results of the only run, which all complete answers
+// show. An answer that proves that a task did not run must precede the run; other
+// failed answers prove nothing.
 var jobKeyModel = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, _, output any) (bool, any) {
 		ans := output.(job.Answer)
-		ran := state.(string)
+		ranResults := state.(string)
 		switch {
-		case ans.Status == job.Complete && ran == "":
+		case ans.Status == job.Complete && ranResults == "":
 			return true, joinResults(&ans)
 		case ans.Status == job.Complete:
-			return ran == joinResults(&ans), ran
+			return ranResults == joinResults(&ans), ranResults
 		case ans.Counts.NotRun > 0:
-			return ran == "", ran
+			return ranResults == "", ranResults
 		}
-		return true, ran
+		return true, ranResults
 	},
 	Equal: func(a, b any) bool { return a == b },
 }
@@ -56,8 +57,8 @@
 	return b.String()
 }
 
-// isLinearizable reports whether some order of the answers of one key, which keeps to
-// their times, agrees with at most one run.
+// isLinearizable reports whether the answers of one key, in some order consistent
+// with their times, agree with at most one run.
 func isLinearizable(ops []op) bool {
 	var history []porcupine.Operation
 	for _, o := range ops {
@@ -78,14 +79,14 @@
 		first, second job.Answer
 		want          bool
 	}{
-		"same run":        {complete("a"), complete("a"), true},
-		"two runs":        {complete("a"), complete("b"), false},
-		"run after none":  {notRun, complete("a"), true},
-		"denied after it": {complete("a"), notRun, false},
+		"same run":          {complete("a"), complete("a"), true},
+		"two runs":          {complete("a"), complete("b"), false},
+		"run after not run": {notRun, complete("a"), true},
+		"not run after run": {complete("a"), notRun, false},
 	} {
 		ops := []op{{answer: tc.first, calledAt: at(1), returnedAt: at(2)}, {caller: 1, answer: tc.second, calledAt: at(3), returnedAt: at(4)}}
 		if got := isLinearizable(ops); got != tc.want {
-			t.Errorf("%s: possible %t, want %t", name, got, tc.want)
+			t.Errorf("%s: linearizable %t, want %t", name, got, tc.want)
 		}
 	}
 }
--- a/failure/limit_test.go
+++ b/failure/limit_test.go
@@ -12,14 +12,15 @@
 	"masticbay/table"
 )
 
-// gauge counts the tasks that run at all targets, and the starts above a limit.
+// gauge counts the tasks that run at all targets, and records the highest number
+// while a limit is in force.
 type gauge struct {
 	mu         sync.Mutex // guards what follows
 	running    int
-	limit      int // 0 for none
+	limit      int // 0 if there is none
 	activeFrom time.Time
-	starts     int // while the limit holds
-	maxRunning int // that ran after such a start
+	starts     int // while the limit is in force
+	maxRunning int // highest number of running tasks after such a start
 }
 
 func (g *gauge) begin() {
@@ -39,14 +40,14 @@
 	g.running--
 }
 
-// setLimit begins to count for a limit at a time.
+// setLimit resets the counts for a limit that is in force from the given time on.
 func (g *gauge) setLimit(limit int, from time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.limit, g.activeFrom, g.starts, g.maxRunning = limit, from, 0, 0
 }
 
-// checkLimit demands that tasks were started, and none above the limit.
+// checkLimit checks that tasks were started, and that none exceeded the limit.
 func (g *gauge) checkLimit(t *testing.T) {
 	t.Helper()
 	g.mu.Lock()
@@ -57,44 +58,44 @@
 	}
 }
 
-// checkUsed demands that the limit could be used, but for the bases of the other
-// entries.
+// checkUsed checks that the team could use its limit, except for the base share
+// of each other entry.
 func (g *gauge) checkUsed(t *testing.T, entries int) {
 	t.Helper()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if least := g.limit - (entries - 1); g.maxRunning < least {
-		t.Errorf("limit %d: at most %d ran at once; want at least %d", g.limit, g.maxRunning, least)
+	if minRunning := g.limit - (entries - 1); g.maxRunning < minRunning {
+		t.Errorf("limit %d: at most %d ran at once; want at least %d", g.limit, g.maxRunning, minRunning)
 	}
 }
 
-// limitApplyTime is the time in which a limit is in force everywhere.
+// limitApplyTime is the time until a new limit is in force at every entry.
 const limitApplyTime = 4 * time.Second
 
-// setLimit writes the limit of the callers' team.
+// setLimit sets the limit of the callers' team and makes the gauge check it.
 func (s *site) setLimit(limit int) {
 	s.t.Helper()
 	s.setRow(table.Row{Kind: table.Team, Name: team, Weight: 1, Limit: limit})
 	s.gauge.setLimit(limit, time.Now().Add(limitApplyTime))
 }
 
-// setRow writes a row of the table over the current one.
+// setRow writes a row of the table, based on the current revision of the row.
 func (s *site) setRow(r table.Row) {
 	s.t.Helper()
-	ed := table.Editor{Store: s.store, Clock: clock.System{}, NewID: func() string { return identity.New("edit") }}
+	editor := table.Editor{Store: s.store, Clock: clock.System{}, NewID: func() string { return identity.New("edit") }}
 	ctx := context.Background()
-	cur, err := ed.Get(ctx, r.Kind, r.Name)
+	current, err := editor.Get(ctx, r.Kind, r.Name)
 	edit := table.Edit{Row: r}
 	if err == nil {
-		edit.Base = cur.Revision
+		edit.Base = current.Revision
 	}
-	if _, err := ed.Set(ctx, edit); err != nil {
+	if _, err := editor.Set(ctx, edit); err != nil {
 		s.t.Fatal(err)
 	}
 }
 
-// TestTeamLimit lets a team flood three entries, all of them homes, while
-// its limit is set, lowered, and a member fails.
+// TestTeamLimit floods three entries, all of them homes, with the jobs of one
+// team, while its limit is set and then lowered and a member fails.
 func TestTeamLimit(t *testing.T) {
 	for _, f := range append([]fault{{name: "none", inject: func(*site, int) func() { return func() {} }}}, faults...) {
 		t.Run(f.name, func(t *testing.T) {
@@ -109,9 +110,9 @@
 					s.gauge.checkLimit(t)
 					s.gauge.checkUsed(t, len(s.entries))
 				}
-				end := f.inject(s, 0)
+				heal := f.inject(s, 0)
 				time.Sleep(10 * time.Second)
-				end()
+				heal()
 				s.gauge.checkLimit(t)
 			}, func(p *policy) { p.Homes = 3 })
 		})
--- a/failure/network_test.go
+++ b/failure/network_test.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// latency is the time from one host to another.
+// latency is the one-way delay between two hosts.
 const latency = 500 * time.Microsecond
 
-// network connects hosts in memory. What a link or a paused host holds back
-// arrives later, as TCP would bring it.
+// network connects hosts in memory. Data that a cut link or a paused host holds
+// back arrives later, as TCP retransmission would deliver it.
 type network struct {
 	mu               sync.Mutex // guards what follows
 	listeners        map[string]*listener
 	cuts             map[link]bool
 	paused           map[string]bool
-	blackholedBefore time.Time     // connections that were made before it carry nothing
-	changed          chan struct{} // closed and replaced when a cut or a pause ends or begins
+	blackholedBefore time.Time     // connections opened before this time carry no data
+	changed          chan struct{} // closed and replaced when a cut or a pause begins or ends
 }
 
 // link is one direction between two hosts.
@@ -43,7 +43,7 @@
 	n.changed = make(chan struct{})
 }
 
-// cut holds back what from sends to to, until on is false.
+// cut starts or ends holding back the data that one host sends to another.
 func (n *network) cut(from, to string, on bool) {
 	n.update(func() { n.cuts[link{from, to}] = on })
 }
@@ -52,8 +52,7 @@
 	n.update(func() { n.paused[host] = on })
 }
 
-// blackholeOpenConns lets all connections that are open carry nothing any more, without
-// a reset.
+// blackholeOpenConns makes all open connections drop their data, without a reset.
 func (n *network) blackholeOpenConns() { n.update(func() { n.blackholedBefore = time.Now() }) }
 
 func (n *network) isBlackholed(made time.Time) bool {
@@ -62,15 +61,15 @@
 	return made.Before(n.blackholedBefore)
 }
 
-// blocked reports whether a link holds back, and a channel that is closed when
-// this may have changed.
-func (n *network) blocked(l link) (yes bool, changed <-chan struct{}) {
+// blocked reports whether a link holds its data back. It also returns a channel
+// that is closed when this may have changed.
+func (n *network) blocked(l link) (isBlocked bool, changed <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.cuts[l] || n.paused[l.from] || n.paused[l.to], n.changed
 }
 
-// awaitUnblocked waits until a link lets through, or until ctx ends.
+// awaitUnblocked waits until a link is not blocked, or until ctx ends.
 func (n *network) awaitUnblocked(ctx context.Context, l link) error {
 	for {
 		blocked, changed := n.blocked(l)
@@ -85,12 +84,12 @@
 	}
 }
 
-// awaitResume waits until a host is not paused.
+// awaitResume blocks while a host is paused.
 func (n *network) awaitResume(host string) {
 	_ = n.awaitUnblocked(context.Background(), link{host, host})
 }
 
-// host is the network as one process sees it.
+// host is the network as seen by one process.
 type host struct {
 	network *network
 	name    string
@@ -105,7 +104,7 @@
 	return l, nil
 }
 
-// Dial implements wire.Network. A paused process still gets connections.
+// Dial implements wire.Network. A paused process still accepts connections.
 func (h host) Dial(ctx context.Context, address string) (net.Conn, error) {
 	for _, l := range []link{{h.name, address}, {address, h.name}} {
 		if h.network.isCut(l) {
@@ -121,10 +120,10 @@
 	if ln == nil {
 		return nil, refused
 	}
-	there, back := newStream(h.network, link{h.name, address}), newStream(h.network, link{address, h.name})
+	toServer, toClient := newStream(h.network, link{h.name, address}), newStream(h.network, link{address, h.name})
 	select {
-	case ln.conns <- &conn{in: there, out: back}:
-		return &conn{in: back, out: there}, nil
+	case ln.conns <- &conn{in: toServer, out: toClient}:
+		return &conn{in: toClient, out: toServer}, nil
 	case <-ln.closed:
 		return nil, refused
 	case <-ctx.Done():
--- a/failure/outage_test.go
+++ b/failure/outage_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// endHomeDuringOutage takes the key-value service away, ends the home, and lets as much
-// time pass as makes entries doubt that they are still listed.
+// endHomeDuringOutage stops the key-value service, ends the home, and waits until
+// the entries can't be sure that they are still listed. It returns the indexes of
+// the other entries and the ID of the ended one.
 func (s *site) endHomeDuringOutage(end func(home int)) (others []int, ended string) {
 	home := s.ranking[0]
 	ended = s.entry(home).ID()
@@ -24,25 +25,26 @@
 			}
 		})
 		if n := s.runWorkload(&workload{prefix: "job", callers: 4, jobs: 5, tasks: 3, entries: others}); n.complete != n.total() {
-			t.Errorf("after the planned stop of an entry: %+v", n)
+			t.Errorf("after the planned stop of an entry, not all jobs are complete: %+v", n)
 		}
 	})
 }
 
-// TestEntryDiesDuringStoreOutage: the others can not tell a dead entry from one
-// that is cut off together with the key-value service, until an operator does.
+// TestEntryDiesDuringStoreOutage checks that jobs get no answers until an operator
+// declares the dead entry ended: the others can't tell a dead entry from one that
+// is cut off together with the key-value service.
 func TestEntryDiesDuringStoreOutage(t *testing.T) {
 	runWithSite(t, 3, func(t *testing.T, s *site) {
 		others, dead := s.endHomeDuringOutage(func(home int) { s.entry(home).Kill() })
 		if n := s.runWorkload(&workload{prefix: "doubt", callers: 4, jobs: 1, tasks: 3, entries: others}); n.unanswered != n.total() {
-			t.Errorf("before the operator's word: %+v", n)
+			t.Errorf("before the operator ended the entry, jobs were answered: %+v", n)
 		}
-		if news, err := s.entry(others[0]).End(t.Context(), dead); err != nil || !news {
-			t.Errorf("ending %s: %t, %v", dead, news, err)
+		if isNew, err := s.entry(others[0]).End(t.Context(), dead); err != nil || !isNew {
+			t.Errorf("ending %s: new %t, %v", dead, isNew, err)
 		}
 		time.Sleep(10 * time.Second)
 		if n := s.runWorkload(&workload{prefix: "job", callers: 4, jobs: 5, tasks: 3, entries: others}); n.complete != n.total() {
-			t.Errorf("after the operator's word: %+v", n)
+			t.Errorf("after the operator ended the entry, not all jobs are complete: %+v", n)
 		}
 	})
 }
--- a/failure/outside_test.go
+++ b/failure/outside_test.go
@@ -20,7 +20,7 @@
 	"masticbay/target"
 )
 
-// hostClock stands still for a paused host: whoever asks waits.
+// hostClock is the clock of a host. Reading it blocks while the host is paused.
 type hostClock struct{ host host }
 
 // Now implements clock.Clock.
@@ -29,7 +29,7 @@
 	return time.Now()
 }
 
-// storeFaults are the switches of the key-value service.
+// storeFaults are the injected faults of the key-value service.
 type storeFaults struct {
 	mu          sync.Mutex // guards what follows
 	outage      bool
@@ -48,10 +48,10 @@
 	return f.outage, f.loseAnswers
 }
 
-// storeName is the host of the key-value service.
+// storeName is the host name of the key-value service.
 const storeName = "store"
 
-// hostStore is the key-value service as one host sees it.
+// hostStore is the key-value service as seen by one host.
 type hostStore struct {
 	store.Store
 	host   host
@@ -95,8 +95,8 @@
 	return items, rev, err
 }
 
-// CompareAndSwap implements store.Store. The answer may be lost after the
-// write took effect.
+// CompareAndSwap implements store.Store. With the fault loseAnswers, the write
+// takes effect but its answer is lost.
 func (s hostStore) CompareAndSwap(ctx context.Context, key string, value []byte, rev uint64) (uint64, bool, error) {
 	if err := s.checkReachable(); err != nil {
 		return 0, false, err
@@ -108,10 +108,10 @@
 	return next, ok, err
 }
 
-// fakeTarget is a target: it runs tasks that its agent posts to it. Each run has a
-// result of its own, so that two runs of a task can be told apart.
+// fakeTarget is a target that simulates the tasks its agent posts to it. Each run
+// has a result of its own, so that two runs of a task can be told apart.
 type fakeTarget struct {
-	host    host // of its agent
+	host    host // the host of its agent
 	name    string
 	journal target.Journal
 	gauge   *gauge
@@ -120,93 +120,93 @@
 	rand              *rand.Rand
 	runs              int
 	dead              chan struct{} // closed while the target is dead
-	stoppedAnnouncing bool          // it runs tasks, but announces itself no more
-	lastSeq           uint64        // of its last announcement
+	stoppedAnnouncing bool          // it runs tasks, but no longer announces itself
+	lastSeq           uint64        // sequence number of the last announcement
 }
 
 func newFakeTarget(h host, seed uint64, g *gauge) *fakeTarget {
 	return &fakeTarget{host: h, gauge: g, name: "desk-" + h.name, rand: rand.New(rand.NewPCG(seed, 1)), dead: make(chan struct{})}
 }
 
-func (d *fakeTarget) kill() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	close(d.dead)
+func (f *fakeTarget) kill() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	close(f.dead)
 }
 
-// nextAnnouncement returns the next announcement of the target, and false if it
-// makes none.
-func (d *fakeTarget) nextAnnouncement() (ann target.Announcement, ok bool) {
-	dead := d.isDead()
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.newAnnouncementLocked(false), !dead && !d.stoppedAnnouncing
+// nextAnnouncement returns the next announcement of the target. Its ok is false if
+// the target makes none.
+func (f *fakeTarget) nextAnnouncement() (announcement target.Announcement, ok bool) {
+	isDead := f.isDead()
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.newAnnouncementLocked(false), !isDead && !f.stoppedAnnouncing
 }
 
-// leavingAnnouncement returns the one with which the target leaves.
-func (d *fakeTarget) leavingAnnouncement() target.Announcement {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.stoppedAnnouncing = true
-	return d.newAnnouncementLocked(true)
+// leavingAnnouncement returns the announcement that the target leaves, its last.
+func (f *fakeTarget) leavingAnnouncement() target.Announcement {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.stoppedAnnouncing = true
+	return f.newAnnouncementLocked(true)
 }
 
-// newAnnouncementLocked numbers an announcement. The caller holds mu.
-func (d *fakeTarget) newAnnouncementLocked(leaving bool) target.Announcement {
-	d.lastSeq++
+// newAnnouncementLocked makes the next announcement. The caller holds mu.
+func (f *fakeTarget) newAnnouncementLocked(leaving bool) target.Announcement {
+	f.lastSeq++
 	return target.Announcement{
-		Name: d.name, Service: service, Address: d.name + ":1", Slots: slots, Leaving: leaving, Life: d.name, Seq: d.lastSeq,
+		Name: f.name, Service: service, Address: f.name + ":1", Slots: slots, Leaving: leaving, Life: f.name, Seq: f.lastSeq,
 	}
 }
 
-func (d *fakeTarget) revive() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.dead = make(chan struct{})
+func (f *fakeTarget) revive() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.dead = make(chan struct{})
 }
 
-func (d *fakeTarget) isDead() bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (f *fakeTarget) isDead() bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	select {
-	case <-d.dead:
+	case <-f.dead:
 		return true
 	default:
 		return false
 	}
 }
 
-// The run times of tasks.
+// The run time of a task is between minRunTime and minRunTime+runTimeSpread.
 const (
 	minRunTime    = 40 * time.Millisecond
 	runTimeSpread = 80 * time.Millisecond
 )
 
-func (d *fakeTarget) beginRun() (took time.Duration, run int, killed <-chan struct{}) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.runs++
-	return minRunTime + time.Duration(d.rand.Int64N(int64(runTimeSpread))), d.runs, d.dead
+func (f *fakeTarget) beginRun() (runTime time.Duration, run int, dead <-chan struct{}) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.runs++
+	return minRunTime + time.Duration(f.rand.Int64N(int64(runTimeSpread))), f.runs, f.dead
 }
 
 // RoundTrip implements http.RoundTripper.
-func (d *fakeTarget) RoundTrip(req *http.Request) (*http.Response, error) {
+func (f *fakeTarget) RoundTrip(req *http.Request) (*http.Response, error) {
 	_ = req.Body.Close()
-	d.host.network.awaitResume(d.host.name)
-	if d.isDead() {
+	f.host.network.awaitResume(f.host.name)
+	if f.isDead() {
 		return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
 	}
 	index, _ := strconv.Atoi(req.Header.Get(target.IndexHeader))
-	d.journal.Record(target.Started{Key: req.Header.Get(target.KeyHeader), Rerun: req.Header.Get(target.RerunHeader), Index: index})
-	d.gauge.begin()
-	defer d.gauge.end()
-	took, run, killed := d.beginRun()
+	f.journal.Record(target.Started{Key: req.Header.Get(target.KeyHeader), Rerun: req.Header.Get(target.RerunHeader), Index: index})
+	f.gauge.begin()
+	defer f.gauge.end()
+	runTime, run, dead := f.beginRun()
 	select {
-	case <-time.After(took):
-	case <-killed:
+	case <-time.After(runTime):
+	case <-dead:
 		return nil, io.ErrUnexpectedEOF
 	}
-	d.host.network.awaitResume(d.host.name)
-	body := fmt.Sprintf("%q", fmt.Sprintf("%s/%d", d.name, run))
+	f.host.network.awaitResume(f.host.name)
+	body := fmt.Sprintf("%q", fmt.Sprintf("%s/%d", f.name, run))
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader([]byte(body))), Request: req}, nil
 }
--- a/failure/pairs_test.go
+++ b/failure/pairs_test.go
@@ -5,17 +5,16 @@
 	"time"
 )
 
-// fault is one kind of failure. It strikes the nth of its victims and returns
-// how to end it. Only what runs on a victim may be lost when nothing else fails:
-// at most a job for each of its slots, for both of its callers.
+// fault is one kind of failure. If nothing else fails, only jobs that run on the
+// failed member may be lost: at most one per slot, for both callers of the job.
 type fault struct {
 	name     string
 	duration time.Duration
-	slots    int // of the victim
-	inject   func(s *site, n int) (end func())
+	slots    int                                // of the failed member
+	inject   func(s *site, n int) (heal func()) // n is the number of earlier injections of this kind
 }
 
-// faults are the failures that tests combine.
+// faults are the failures that the tests inject, alone and in pairs.
 var faults = []fault{
 	{"entryKilled", 5 * time.Second, 0, func(s *site, _ int) func() {
 		i := s.killHome()
@@ -26,9 +25,9 @@
 		return func() { s.startAgent(n) }
 	}},
 	{"targetKilled", 10 * time.Second, slots, func(s *site, n int) func() {
-		d := s.targets[agents-1-n]
-		d.kill()
-		return d.revive
+		f := s.targets[agents-1-n]
+		f.kill()
+		return f.revive
 	}},
 	{"cutOneWay", 20 * time.Second, slots, func(s *site, n int) func() {
 		home, next := entryName(s.ranking[0]), entryName(s.ranking[1])
@@ -57,8 +56,9 @@
 	}},
 }
 
-// The times until an installation needs no claims: after its start, and after
-// members were lost, which takes two retentions.
+// The times until an installation needs no claims: settleTime after its start, and
+// recoveryTime after a failure, since it takes two retentions to declare members
+// lost.
 const (
 	retention    = 3 * window
 	settleTime   = retention + 30*time.Second
@@ -88,8 +88,8 @@
 	}
 }
 
-// runWithFaults runs callers while faults strike, one shortly after the other, and
-// demands that no promise is broken, and that all works again afterwards.
+// runWithFaults submits jobs while faults are injected, one shortly after the
+// other. It checks that no guarantee is broken and that all later jobs complete.
 func runWithFaults(t *testing.T, fs ...fault) (n tally) {
 	runWithSite(t, 3, func(t *testing.T, s *site) {
 		s.goroutines.Go(func() { injectFaults(s, fs) })
@@ -97,14 +97,14 @@
 		t.Logf("%+v", n)
 		time.Sleep(recoveryTime)
 		if after := s.runWorkload(&workload{prefix: "after", callers: 6, jobs: 5, tasks: 3}); after.complete != after.total() {
-			t.Errorf("long after the failures: %+v", after)
+			t.Errorf("after the recovery, not all jobs are complete: %+v", after)
 		}
 	})
 	return n
 }
 
-// TestOneOfFourEntriesDies kills the home at 80% load. The other entries and
-// all agents can tell what it had started, so no job may end unknown.
+// TestOneOfFourEntriesDies kills the home at 80% load. The other entries and all
+// agents know which tasks it started, so no job may end with unknown tasks.
 func TestOneOfFourEntriesDies(t *testing.T) {
 	const callers, jobs, tasks = 8, 800, 2
 	runWithSite(t, 4, func(t *testing.T, s *site) {
@@ -113,9 +113,9 @@
 			s.killHome()
 		})
 		// Both callers of a key wait for the same run.
-		perTask := (minRunTime + runTimeSpread/2) / (agents * slots)
-		every := perTask * tasks * callers / 2 * 100 / 80
-		n := s.runWorkload(&workload{prefix: "job", callers: callers, jobs: jobs, tasks: tasks, interval: every})
+		timePerTask := (minRunTime + runTimeSpread/2) / (agents * slots)
+		interval := timePerTask * tasks * callers / 2 * 100 / 80
+		n := s.runWorkload(&workload{prefix: "job", callers: callers, jobs: jobs, tasks: tasks, interval: interval})
 		t.Logf("%+v", n)
 		if n.complete != callers*jobs {
 			t.Errorf("%d of %d submissions were not complete", n.total()-n.complete, n.total())
@@ -124,26 +124,26 @@
 }
 
 func injectFaults(s *site, fs []fault) {
-	seen := make(map[string]int)
+	injected := make(map[string]int)
 	for _, f := range fs {
 		time.Sleep(2 * time.Second)
-		end := f.inject(s, seen[f.name])
-		seen[f.name]++
+		heal := f.inject(s, injected[f.name])
+		injected[f.name]++
 		s.goroutines.Go(func() {
 			time.Sleep(f.duration)
-			end()
+			heal()
 		})
 	}
 }
 
-// TestTenMinuteStoreOutage keeps the key-value service down: all jobs are
-// complete, and all members are still listed afterwards.
+// TestTenMinuteStoreOutage checks that all jobs complete while the key-value
+// service is down, and that all members are still listed afterwards.
 func TestTenMinuteStoreOutage(t *testing.T) {
 	runWithSite(t, 3, func(t *testing.T, s *site) {
 		s.faults.set(true, false)
-		begin := time.Now()
+		startedAt := time.Now()
 		n := s.runWorkload(&workload{prefix: "job", callers: 4, jobs: 500, tasks: 3, pause: time.Second})
-		if outage := time.Since(begin); n.complete != n.total() || outage < 9*time.Minute {
+		if outage := time.Since(startedAt); n.complete != n.total() || outage < 9*time.Minute {
 			t.Errorf("%+v in %v", n, outage)
 		}
 		s.faults.set(false, false)
--- a/failure/region_test.go
+++ b/failure/region_test.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// region is what a cut separates from the rest.
+// region is the hosts on one side of a network partition.
 type region struct {
 	entries []int
 	hosts   []string
 }
 
-// regions returns two regions, of which the first has the first agents. The
-// key-value service is in the second one.
-func regions(inNorth int) (north, south region) {
+// regions divides the site into two regions. The first one has the first
+// northAgents agents, the second one has the key-value service.
+func regions(northAgents int) (north, south region) {
 	north = region{[]int{0, 1}, []string{entryName(0), entryName(1)}}
 	south = region{[]int{2}, []string{entryName(2), storeName}}
 	for i := range agents {
 		r := &north
-		if i >= inNorth {
+		if i >= northAgents {
 			r = &south
 		}
 		r.hosts = append(r.hosts, agentName(i))
@@ -28,66 +28,66 @@
 	return north, south
 }
 
-// setPartition cuts or joins two regions, in both directions.
-func (s *site) setPartition(a, b region, on bool) {
+// setPartition cuts or restores all links between two regions, in both directions.
+func (s *site) setPartition(a, b region, partitioned bool) {
 	for _, x := range a.hosts {
 		for _, y := range b.hosts {
-			s.network.cut(x, y, on)
-			s.network.cut(y, x, on)
+			s.network.cut(x, y, partitioned)
+			s.network.cut(y, x, partitioned)
 		}
 	}
 }
 
-// submitAcrossRejoin lets callers in the north submit jobs, joins the regions again, and lets
-// callers in the south submit the same keys at once.
+// submitAcrossRejoin submits jobs in the north, ends the partition, and at once
+// submits the same keys in the south.
 func (s *site) submitAcrossRejoin(north, south region) (first, again tally) {
-	late := workload{prefix: "late", callers: 2, jobs: 5, tasks: 2, entries: north.entries}
-	first = s.runWorkload(&late)
+	jobs := workload{prefix: "late", callers: 2, jobs: 5, tasks: 2, entries: north.entries}
+	first = s.runWorkload(&jobs)
 	s.setPartition(north, south, false)
-	late.entries = south.entries
-	late.resubmission = true
-	return first, s.runWorkload(&late)
+	jobs.entries = south.entries
+	jobs.resubmission = true
+	return first, s.runWorkload(&jobs)
 }
 
-// TestPartitionedRegions cuts two regions off from one another until each has
-// given the other up. Each serves its own callers: idempotent jobs throughout,
-// but for what ran in the other region when it was cut off; jobs that are not
-// may end unknown, but never run twice.
+// TestPartitionedRegions partitions two regions until each has declared the other
+// lost. Each region serves its own callers. Idempotent jobs complete, except those
+// that ran in the other region when the partition began. Other jobs may end
+// unknown, but never run twice.
 func TestPartitionedRegions(t *testing.T) {
 	runWithSite(t, 3, func(t *testing.T, s *site) {
 		north, south := regions(agents / 2)
 		s.setPartition(north, south, true)
-		end := time.Now().Add(5 * retention)
-		kinds := []*workload{
+		endAt := time.Now().Add(5 * retention)
+		workloads := []*workload{
 			{prefix: "north", entries: north.entries, idempotent: true},
 			{prefix: "south", entries: south.entries, idempotent: true},
 			{prefix: "northOnce", entries: north.entries},
 			{prefix: "southOnce", entries: south.entries},
 		}
 		var wg sync.WaitGroup
-		for _, c := range kinds {
-			c.callers, c.jobs, c.tasks, c.pause, c.until = 2, 10_000, 2, 2*time.Second, end
+		for _, w := range workloads {
+			w.callers, w.jobs, w.tasks, w.pause, w.until = 2, 10_000, 2, 2*time.Second, endAt
 			wg.Go(func() {
-				n := s.runWorkload(c)
-				t.Logf("%s: %+v", c.prefix, n)
-				if lost := n.total() - n.complete; c.idempotent && lost > c.callers {
-					t.Errorf("%s: %d of %d idempotent jobs are not complete", c.prefix, lost, n.total())
+				n := s.runWorkload(w)
+				t.Logf("%s: %+v", w.prefix, n)
+				if lost := n.total() - n.complete; w.idempotent && lost > w.callers {
+					t.Errorf("%s: %d of %d idempotent jobs are not complete", w.prefix, lost, n.total())
 				}
 			})
 		}
 		wg.Wait()
 		first, again := s.submitAcrossRejoin(north, south)
-		t.Logf("before the regions met %+v, after %+v", first, again)
+		t.Logf("before the partition ended %+v, after %+v", first, again)
 		time.Sleep(recoveryTime)
 		if n := s.runWorkload(&workload{prefix: "after", callers: 6, jobs: 5, tasks: 3}); n.complete != n.total() {
-			t.Errorf("long after the regions met: %+v", n)
+			t.Errorf("after the recovery from the partition, not all jobs are complete: %+v", n)
 		}
 	})
 }
 
-// TestRegionDeclaredLost cuts a region off that has all targets. The other one
-// gives all its members up, and gets a new target. Nothing tells the first one,
-// so it must stop to run jobs that are not idempotent by itself.
+// TestRegionDeclaredLost cuts off a region that has all targets. The other region
+// declares its members lost and gets a new target. The first region is not
+// notified, so it must stop running non-idempotent jobs by itself.
 func TestRegionDeclaredLost(t *testing.T) {
 	runWithSite(t, 3, func(t *testing.T, s *site) {
 		const newcomer = 3
@@ -99,14 +99,15 @@
 		s.startAgent(newcomer)
 		time.Sleep(2 * settleTime)
 		first, again := s.submitAcrossRejoin(north, south)
-		t.Logf("before the regions met %+v, after %+v", first, again)
+		t.Logf("before the partition ended %+v, after %+v", first, again)
 		if again.total() == again.unanswered {
-			t.Error("the region with the key-value service answers nothing")
+			t.Error("the region with the key-value service answers no job")
 		}
 	})
 }
 
-// TestPartitionCutsTheRightLinks makes sure that a separation is one.
+// TestPartitionCutsTheRightLinks checks that a partition cuts all links between
+// the regions and none inside them.
 func TestPartitionCutsTheRightLinks(t *testing.T) {
 	s := &site{network: newNetwork()}
 	north, south := regions(agents / 2)
--- a/failure/site_test.go
+++ b/failure/site_test.go
@@ -22,7 +22,7 @@
 	"masticbay/target"
 )
 
-// The size and times of a site.
+// The size of a site, and the names and the window that it uses.
 const (
 	agents  = 4
 	slots   = 4
@@ -42,7 +42,7 @@
 	stop       chan struct{}
 	goroutines sync.WaitGroup
 	targets    [agents]*fakeTarget
-	ranking    []int // entries by their rank as homes; those that were killed last
+	ranking    []int // indexes of the entries by their rank as home; killed ones come last
 
 	mu      sync.Mutex // guards what follows
 	entries []*entry.Entry
@@ -50,8 +50,8 @@
 	ops     []op
 }
 
-// runWithSite runs f in a bubble on a site that needs no claims any more, and judges
-// what callers were told.
+// runWithSite runs f in a bubble on a site that no longer needs claims, and then
+// checks the answers that callers got.
 func runWithSite(t *testing.T, entries int, f func(t *testing.T, s *site), changes ...func(*policy)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, entries, changes...)
@@ -63,7 +63,7 @@
 	})
 }
 
-// policy is what a test may change of a site.
+// policy holds the settings of a site that a test may change.
 type policy = setting.Policy
 
 func newSite(t *testing.T, entries int, changes ...func(*policy)) *site {
@@ -136,22 +136,22 @@
 	return s.agents[i]
 }
 
-// announceLoop lets a target announce itself.
+// announceLoop sends the announcements of a target to its agent every second.
 func (s *site) announceLoop(i int) {
-	d := s.targets[i]
+	f := s.targets[i]
 	for s.sleep(time.Second) {
-		ann, ok := d.nextAnnouncement()
+		announcement, ok := f.nextAnnouncement()
 		if !ok {
 			continue
 		}
-		s.network.awaitResume(d.host.name)
-		if err := s.agent(i).Hear(ann); err != nil {
+		s.network.awaitResume(f.host.name)
+		if err := s.agent(i).Hear(announcement); err != nil {
 			s.t.Error(err)
 		}
 	}
 }
 
-// sleep reports false if the site has been closed.
+// sleep waits for d. It reports false if the site was closed meanwhile.
 func (s *site) sleep(d time.Duration) bool {
 	select {
 	case <-time.After(d):
@@ -161,20 +161,21 @@
 	}
 }
 
-// readRanking notes which entry jobs belong to, and those that take its place in turn.
+// readRanking reads the rank of the entries: the home first, then its successors
+// in order.
 func (s *site) readRanking() {
-	var reg member.Registry
-	st, err := s.entry(0).Status(context.Background())
+	var registry member.Registry
+	status, err := s.entry(0).Status(context.Background())
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	reg.Entries = st.Entries
-	for _, e := range reg.Rank(service) {
+	registry.Entries = status.Entries
+	for _, e := range registry.Rank(service) {
 		s.ranking = append(s.ranking, slices.Index(s.entryNames(), e.Address))
 	}
 }
 
-// killHome ends the entry that jobs belong to now, and returns its number.
+// killHome kills the entry that is home, and returns its index.
 func (s *site) killHome() (killed int) {
 	killed = s.ranking[0]
 	s.entry(killed).Kill()
@@ -182,7 +183,7 @@
 	return killed
 }
 
-// close ends everything.
+// close kills all members and waits for the goroutines.
 func (s *site) close() {
 	for i := range s.entries {
 		s.entry(i).Kill()
@@ -195,15 +196,15 @@
 	time.Sleep(maxCallTime)
 }
 
-// maxCallTime is longer than any call of a member that has ended goes on.
+// maxCallTime is longer than any call of a killed member can last.
 const maxCallTime = time.Minute
 
-// checkAnswers compares the answers with the journals and with one another.
+// checkAnswers compares the answers with the journals and with each other.
 func (s *site) checkAnswers() {
 	s.t.Helper()
 	var journals []map[target.Started]int
-	for _, d := range s.targets {
-		journals = append(journals, d.journal.Counts())
+	for _, f := range s.targets {
+		journals = append(journals, f.journal.Counts())
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -211,12 +212,12 @@
 	for _, o := range s.ops {
 		answers = append(answers, o.answer)
 	}
-	if v := demo.Judge(answers, journals); v.Wrong() {
-		s.t.Errorf("promises were broken: %+v", v)
+	if verdict := demo.Judge(answers, journals); verdict.Wrong() {
+		s.t.Errorf("guarantees were broken: %+v", verdict)
 	}
 	for key, ops := range groupByKey(s.ops) {
 		if !isLinearizable(ops) {
-			s.t.Errorf("no order explains the answers of %s: %+v", key, ops)
+			s.t.Errorf("the answers of %s are not linearizable: %+v", key, ops)
 		}
 	}
 }
--- a/integration/doc.go
+++ b/integration/doc.go
@@ -1,6 +1,6 @@
-// Package integration tests real processes on loopback, behind a proxy that
-// injects faults. Its verdicts come from the targets' own journals against the
-// answers that callers got.
+// Package integration tests real processes on loopback, with proxies that inject
+// faults. The checks compare the answers that callers got with the targets' own
+// journals.
 //
 // # Usage
 //
--- a/integration/drain_test.go
+++ b/integration/drain_test.go
@@ -12,12 +12,12 @@
 	"masticbay/target"
 )
 
-// TestDrainedTargetGetsNoStarts drains a target under load. Once the entries
-// show it as draining, and what ran has ended, its journal does not grow.
+// TestDrainedTargetGetsNoStarts drains a target under load. Once the entries show
+// it as draining and its running tasks have ended, its journal must not grow.
 func TestDrainedTargetGetsNoStarts(t *testing.T) {
 	s := newSite(t, 2, 2, "3s")
 	s.awaitAll("2 agents", listed(2))
-	before := &workload{s: s, prefix: "before", callers: 4, jobs: 10, tasks: 4}
+	before := &workload{site: s, prefix: "before", callers: 4, jobs: 10, tasks: 4}
 	var wg sync.WaitGroup
 	wg.Go(before.run)
 	s.editTable("target", "desk0", `{"base":0,"weight":1,"drain":true}`)
@@ -30,18 +30,18 @@
 		return false
 	})
 	count := s.startCount(0)
-	after := &workload{s: s, prefix: "after", callers: 4, jobs: 10, tasks: 4}
+	after := &workload{site: s, prefix: "after", callers: 4, jobs: 10, tasks: 4}
 	after.run()
 	wg.Wait()
 	if got := s.startCount(0); got != count {
-		t.Errorf("the drained target started %d tasks", got-count)
+		t.Errorf("the drained target started %d more tasks", got-count)
 	}
 	if _, failed := s.checkAnswers(before, after); failed > 0 {
 		t.Errorf("%d jobs failed", failed)
 	}
 }
 
-// startCount returns the number of tasks that a target has started.
+// startCount returns the number of task starts in the journal of a target.
 func (s *site) startCount(i int) (n int) {
 	s.t.Helper()
 	f, err := os.Open(s.journal(i))
@@ -59,7 +59,7 @@
 	return n
 }
 
-// editTable writes a row of the table.
+// editTable writes a row of the table through the first entry.
 func (s *site) editTable(kind, name, body string) {
 	s.t.Helper()
 	url := fmt.Sprintf("%s/v1/table/%s/%s", s.url(0), kind, name)
--- a/integration/site_test.go
+++ b/integration/site_test.go
@@ -25,6 +25,7 @@
 	"masticbay/target"
 )
 
+// binary is the path of the program under test.
 var binary string
 
 // TestMain builds the program once.
@@ -49,14 +50,14 @@
 	platform     string
 	entries      []string // HTTP addresses
 	agentProxies []*toxiproxy.Proxy
-	mu           sync.Mutex // guards procs
+	mu           sync.Mutex // guards processes
 	processes    map[string]*exec.Cmd
 }
 
 const awaitTimeout = 60 * time.Second
 
-// newSite starts a key-value stand-in, entries, and agents with targets. Each
-// agent is reached through a proxy.
+// newSite starts a stand-in for the key-value service, entries, and agents with
+// their targets. The entries reach each agent through a proxy.
 func newSite(t *testing.T, entries, agents int, window string) *site {
 	t.Helper()
 	s := &site{t: t, dir: t.TempDir(), processes: make(map[string]*exec.Cmd)}
@@ -77,11 +78,11 @@
 			s.entries[i], rpcs[i], s.platform, list, policy, window)
 	}
 	for i := range agents {
-		rpc, advertise, web, task := next(), next(), next(), next()
+		rpc, advertise, agentHTTP, targetHTTP := next(), next(), next(), next()
 		s.addProxy(advertise, rpc)
-		s.write(processName("agent", i), "role = \"agent\"\nrpc = %q\nadvertise = %q\nhttp = %q\nentries = %s\n%s", rpc, advertise, web, list, policy)
+		s.write(processName("agent", i), "role = \"agent\"\nrpc = %q\nadvertise = %q\nhttp = %q\nentries = %s\n%s", rpc, advertise, agentHTTP, list, policy)
 		s.write(processName("target", i), "role = \"target\"\nhttp = %q\nagent = \"http://%s\"\nname = \"desk%d\"\njournal = %q\nmedian = \"60ms\"\nannounce = \"200ms\"\nseed = %d\n",
-			task, web, i, s.journal(i), i)
+			targetHTTP, agentHTTP, i, s.journal(i), i)
 	}
 	s.start("platform", "platform")
 	for i := range entries {
@@ -129,7 +130,7 @@
 	s.agentProxies = append(s.agentProxies, p)
 }
 
-// start starts the process that file configures.
+// start starts a process with the configuration file and the log of that name.
 func (s *site) start(role, file string) {
 	s.t.Helper()
 	cmd := exec.Command(binary, role, "--config", filepath.Join(s.dir, file+".toml"))
@@ -157,10 +158,10 @@
 	return cmd
 }
 
-// kill ends a process abruptly.
+// kill kills a process and waits for its end.
 func (s *site) kill(file string) { _ = s.signal(file, syscall.SIGKILL).Wait() }
 
-// stop ends a process as planned; it must end by itself with the code 0.
+// stop sends SIGTERM to a process, which must then exit with the code 0.
 func (s *site) stop(file string) {
 	s.t.Helper()
 	if err := s.signal(file, syscall.SIGTERM).Wait(); err != nil {
@@ -195,12 +196,12 @@
 // await waits until cond holds at entry i.
 func (s *site) await(i int, what string, cond func(entry.StatusReply) bool) {
 	s.t.Helper()
-	for end := time.Now().Add(awaitTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(awaitTimeout); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		if st, err := s.status(i); err == nil && cond(st) {
 			return
 		}
 	}
-	s.t.Fatalf("entry %d: %s did not come about in %v", i, what, awaitTimeout)
+	s.t.Fatalf("entry %d: %s: condition not met in %v", i, what, awaitTimeout)
 }
 
 // awaitAll waits until cond holds at every entry.
@@ -211,20 +212,21 @@
 	}
 }
 
-// readyWithoutClaims reports whether n agents are listed and jobs run without claims.
+// readyWithoutClaims returns a condition: at least n agents are ready, and jobs
+// run without claims.
 func readyWithoutClaims(n int) func(entry.StatusReply) bool {
 	return func(st entry.StatusReply) bool {
-		up := 0
+		count := 0
 		for _, a := range st.Agents {
 			if a.State == "ready" {
-				up++
+				count++
 			}
 		}
-		return up >= n && st.Settled
+		return count >= n && st.Settled
 	}
 }
 
-// setFaults sets the switches of the key-value stand-in.
+// setFaults sets the faults of the key-value stand-in.
 func (s *site) setFaults(body string) {
 	s.t.Helper()
 	req, err := http.NewRequest(http.MethodPut, "http://"+s.platform+"/faults", strings.NewReader(body))
@@ -238,13 +240,13 @@
 	_ = resp.Body.Close()
 }
 
-// workload submits jobs from several callers, who resubmit to the next entry when
+// workload submits jobs from several callers, which resubmit to the next entry if
 // they get no answer.
 type workload struct {
-	s       *site
+	site    *site
 	prefix  string
 	callers int
-	jobs    int // for each caller
+	jobs    int // per caller
 	tasks   int
 
 	mu         sync.Mutex // guards what follows
@@ -253,61 +255,62 @@
 	refusals   map[string]int
 }
 
-func (c *workload) run() {
+func (w *workload) run() {
 	var wg sync.WaitGroup
-	for i := range c.callers {
+	for i := range w.callers {
 		wg.Go(func() {
-			for n := range c.jobs {
-				c.submit(i, n)
+			for n := range w.jobs {
+				w.submit(i, n)
 			}
 		})
 	}
 	wg.Wait()
 }
 
-// submit submits one job until it is answered, waiting as long as refusals ask
-// for.
-func (c *workload) submit(i, n int) {
+// submit submits one job until it is answered. After a refusal it waits as long as
+// the refusal asks.
+func (w *workload) submit(i, n int) {
 	req := entry.SubmitRequest{
-		Key: fmt.Sprintf("%s-%d-%d", c.prefix, i, n), Team: "laval", Service: "pickup",
-		Idempotent: n%4 == 3, Tasks: make([]entry.TaskRequest, c.tasks),
+		Key: fmt.Sprintf("%s-%d-%d", w.prefix, i, n), Team: "laval", Service: "pickup",
+		Idempotent: n%4 == 3, Tasks: make([]entry.TaskRequest, w.tasks),
 	}
 	var err error
-	for end, try := time.Now().Add(awaitTimeout), 0; time.Now().Before(end); try++ {
+	for deadline, attempt := time.Now().Add(awaitTimeout), 0; time.Now().Before(deadline); attempt++ {
 		var ans job.Answer
-		ans, err = load.Submit(context.Background(), c.s.url((i+n+try)%len(c.s.entries)), &req)
+		ans, err = load.Submit(context.Background(), w.site.url((i+n+attempt)%len(w.site.entries)), &req)
 		if err == nil {
-			c.mu.Lock()
-			defer c.mu.Unlock()
-			c.answers = append(c.answers, ans)
+			w.mu.Lock()
+			defer w.mu.Unlock()
+			w.answers = append(w.answers, ans)
 			return
 		}
 		req.Resubmission = true
-		c.countRefusal(err)
+		w.countRefusal(err)
 		pause := 50 * time.Millisecond
 		if refused, ok := errors.AsType[*load.RefusedError](err); ok {
 			pause = max(pause, time.Duration(refused.RetryAfter*float64(time.Second)))
 		}
 		time.Sleep(pause)
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.unanswered++
-	c.s.t.Log(err)
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.unanswered++
+	w.site.t.Log(err)
 }
 
-// countRefusal counts the reasons for which callers had to try again.
-func (c *workload) countRefusal(err error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.refusals == nil {
-		c.refusals = make(map[string]int)
-	}
-	c.refusals[errors.Cause(err).Error()]++
+// countRefusal counts the errors after which callers resubmitted.
+func (w *workload) countRefusal(err error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.refusals == nil {
+		w.refusals = make(map[string]int)
+	}
+	w.refusals[errors.Cause(err).Error()]++
 }
 
-// checkAnswers compares the answers with the journals of the targets.
-func (s *site) checkAnswers(cs ...*workload) (v demo.Verdict, failed int) {
+// checkAnswers compares the answers with the journals of the targets. It returns
+// the verdict and the number of failed jobs.
+func (s *site) checkAnswers(workloads ...*workload) (v demo.Verdict, failed int) {
 	s.t.Helper()
 	var journals []map[target.Started]int
 	files, _ := filepath.Glob(filepath.Join(s.dir, "journal*"))
@@ -324,11 +327,11 @@
 		journals = append(journals, counts)
 	}
 	var answers []job.Answer
-	for _, c := range cs {
-		s.t.Logf("%s: tried again after %v", c.prefix, c.refusals)
-		answers = append(answers, c.answers...)
-		if c.unanswered > 0 {
-			s.t.Errorf("%d callers got no answer", c.unanswered)
+	for _, w := range workloads {
+		s.t.Logf("%s: resubmitted after %v", w.prefix, w.refusals)
+		answers = append(answers, w.answers...)
+		if w.unanswered > 0 {
+			s.t.Errorf("%d submissions got no answer", w.unanswered)
 		}
 	}
 	for i := range answers {
@@ -339,25 +342,25 @@
 	}
 	v = demo.Judge(answers, journals)
 	if v.Wrong() {
-		s.t.Errorf("promises were broken: %+v", v)
+		s.t.Errorf("guarantees were broken: %+v", v)
 	}
 	s.t.Logf("%d answers, %d failed, %+v", len(answers), failed, v)
 	return v, failed
 }
 
-// submitLong submits one job of one task that runs for the given time.
-func (c *workload) submitLong(millis int) {
+// submitLong submits one job of one task with the given run time.
+func (w *workload) submitLong(millis int) {
 	req := entry.SubmitRequest{
-		Key: c.prefix, Team: "laval", Service: "pickup",
+		Key: w.prefix, Team: "laval", Service: "pickup",
 		Tasks: []entry.TaskRequest{{Payload: fmt.Appendf(nil, `{"runMillis":%d}`, millis)}},
 	}
-	ans, err := load.Submit(context.Background(), c.s.url(0), &req)
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	ans, err := load.Submit(context.Background(), w.site.url(0), &req)
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	if err != nil {
-		c.unanswered++
-		c.s.t.Log(err)
+		w.unanswered++
+		w.site.t.Log(err)
 		return
 	}
-	c.answers = append(c.answers, ans)
+	w.answers = append(w.answers, ans)
 }
--- a/scripts/capacity.sh
+++ b/scripts/capacity.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Measures what control costs at several sizes: real entries, and light agents
-# in one process, all on loopback, without jobs. Prints one row for each size.
-# Usage: scripts/capacity.sh [SECONDS]    (measured for each size; default 20)
+# Measures the cost of the control plane at several sizes: real entries, and
+# lightweight agents in one process, on loopback, without jobs. Prints one row
+# per size.
+# Usage: scripts/capacity.sh [SECONDS]    (measuring time per size; default 20)
 set -euo pipefail
 cd "$(dirname "$0")/.."
 seconds=${1:-20}
--- a/scripts/throughput.sh
+++ b/scripts/throughput.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Measures what one entry carries: an entry, 4 agents and 4 targets that answer
-# at once, as processes on loopback. Prints one row for each of REPEATS runs.
-# Usage: scripts/throughput.sh [REPEATS]    (default 5; 6 s for each run)
+# Measures the throughput of one entry with 4 agents and 4 targets that answer at
+# once, as processes on loopback. Prints one row per run, REPEATS runs per load.
+# Usage: scripts/throughput.sh [REPEATS]    (default 5; each run takes 6 s)
 set -euo pipefail
 cd "$(dirname "$0")/.."
 repeats=${1:-5}
