--- a/failure/fleet_faults_test.go
+++ b/failure/fleet_faults_test.go
@@ -9,28 +9,28 @@
 	"masticbay/platform/standin"
 )
 
-// wantServed checks how many of the answered jobs completed.
-func (s *fleet) wantServed(least float64) {
+// wantCompleted checks that at least a share of the jobs completed.
+func (s *fleet) wantCompleted(minShare float64) {
 	s.t.Helper()
 	answered, completed, rejected := s.counts()
-	s.t.Logf("%d answered, %d completed, %d rejected, %d requests without an answer", answered, completed, rejected, s.lost)
-	if float64(completed) < least*float64(answered+s.lost) || answered == 0 {
-		s.t.Errorf("%d of %d jobs completed, want %.0f%%", completed, answered+s.lost, 100*least)
+	s.t.Logf("%d answered, %d completed, %d rejected, %d requests unanswered", answered, completed, rejected, s.unanswered)
+	if float64(completed) < minShare*float64(answered+s.unanswered) || answered == 0 {
+		s.t.Errorf("%d of %d jobs completed, want %.0f%%", completed, answered+s.unanswered, 100*minShare)
 	}
 }
 
-func TestFleetServesACalmDay(t *testing.T) {
-	onFleet(t, func(_ *testing.T, s *fleet) {
+func TestFleetWithoutFaults(t *testing.T) {
+	runWithFleet(t, func(_ *testing.T, s *fleet) {
 		s.load(4*time.Second, 0, 1, 2)
-		s.wantServed(1)
+		s.wantCompleted(1)
 	})
 }
 
-// fleetFault is something that fails for a while.
+// fleetFault is one kind of temporary failure.
 type fleetFault struct {
-	name  string
-	least float64 // part of the requests that completes nevertheless
-	fault func(s *fleet)
+	name     string
+	minShare float64 // share of the requests that must still complete
+	fault    func(s *fleet)
 }
 
 var fleetFaults = []fleetFault{
@@ -51,11 +51,11 @@
 	{"answers of the home cut off", 0.85, func(s *fleet) {
 		h := s.home()
 		for i := range fleetEntries {
-			s.n.cut(fmt.Sprint("e", h), fmt.Sprint("e", i), true)
+			s.network.cut(fmt.Sprint("e", h), fmt.Sprint("e", i), true)
 		}
 		time.Sleep(2 * time.Second)
 		for i := range fleetEntries {
-			s.n.cut(fmt.Sprint("e", h), fmt.Sprint("e", i), false)
+			s.network.cut(fmt.Sprint("e", h), fmt.Sprint("e", i), false)
 		}
 	}},
 	{"agent killed", 0.85, func(s *fleet) {
@@ -77,9 +77,9 @@
 		time.Sleep(3 * time.Second)
 		s.workers[1].Set(standin.WorkerFaults{})
 	}},
-	{"orders late", 0.85, func(s *fleet) { s.loseOrders(3 * time.Second) }},
-	{"orders never carried out", 0.85, func(s *fleet) { s.loseOrders(0) }},
-	{"open connections silent", 0.85, func(s *fleet) { s.n.silenceOpen() }},
+	{"orders late", 0.85, func(s *fleet) { s.leaveOrdersUnanswered(3 * time.Second) }},
+	{"orders never carried out", 0.85, func(s *fleet) { s.leaveOrdersUnanswered(0) }},
+	{"open connections silent", 0.85, func(s *fleet) { s.network.blackholeOpenConns() }},
 	{"store down", 1, func(s *fleet) {
 		s.store.Set(standin.StoreFaults{Down: true})
 		time.Sleep(3 * time.Second)
@@ -87,24 +87,24 @@
 	}},
 	{"entry leaves", 1, func(s *fleet) {
 		h := s.home()
-		time.AfterFunc(2*time.Second, func() { s.setRotation(h, false) })
+		time.AfterFunc(2*time.Second, func() { s.setInRotation(h, false) })
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
 		if err := s.entry(h).Stop(ctx); err != nil {
 			s.t.Error(err)
 		}
 		s.startEntry(h)
-		s.setRotation(h, true)
+		s.setInRotation(h, true)
 	}},
 	{"worker drains", 1, func(s *fleet) { s.workers[1].Drain() }},
 }
 
-// TestFleetUnderFaults loads all entries while one thing fails for a while. What
-// onFleet judges must hold in every case; most jobs complete.
+// TestFleetUnderFaults loads all entries while one fault is injected. The
+// invariants must hold in every case, and most jobs must complete.
 func TestFleetUnderFaults(t *testing.T) {
 	for _, tc := range fleetFaults {
 		t.Run(tc.name, func(t *testing.T) {
-			onFleet(t, func(_ *testing.T, s *fleet) {
+			runWithFleet(t, func(_ *testing.T, s *fleet) {
 				done := make(chan struct{})
 				go func() {
 					defer close(done)
@@ -113,18 +113,18 @@
 				}()
 				s.load(6*time.Second, 0, 1, 2)
 				<-done
-				s.wantServed(tc.least)
+				s.wantCompleted(tc.minShare)
 				s.wantOneHome()
 			})
 		})
 	}
 }
 
-// TestEntryThatLeavesAnswersAll: the balancer goes on to send callers to an entry
-// that stops, as it does when too few others of its data centre are left. None
-// of them may lose its connection without an answer.
-func TestEntryThatLeavesAnswersAll(t *testing.T) {
-	onFleet(t, func(t *testing.T, s *fleet) {
+// TestLeavingEntryAnswersEveryCaller keeps sending requests to an entry that
+// stops, as the load balancer does when too few other entries of the data centre
+// are left. No request may lose its connection without an answer.
+func TestLeavingEntryAnswersEveryCaller(t *testing.T) {
+	runWithFleet(t, func(t *testing.T, s *fleet) {
 		leaving := (s.home() + 1) % fleetEntries
 		stopped := make(chan struct{})
 		go func() {
@@ -139,13 +139,13 @@
 		}()
 		s.load(8*time.Second, 0, 1, 2)
 		<-stopped
-		if s.broken > 0 {
-			t.Errorf("%d requests lost their connection without an answer", s.broken)
+		if s.brokenConns > 0 {
+			t.Errorf("%d requests lost their connection without an answer", s.brokenConns)
 		}
 	})
 }
 
-// wantOneHome checks that the entries agree again some time after the fault.
+// wantOneHome checks that exactly one entry is home 2 s after the fault.
 func (s *fleet) wantOneHome() {
 	s.t.Helper()
 	time.Sleep(2 * time.Second)
@@ -156,30 +156,31 @@
 		}
 	}
 	if homes != 1 {
-		s.t.Errorf("%d entries act as home, want 1", homes)
+		s.t.Errorf("%d entries are home, want 1", homes)
 	}
 }
 
-func (s *fleet) pauseFor(host string, span time.Duration) {
-	s.n.pause(host, true)
-	time.Sleep(span)
-	s.n.pause(host, false)
+func (s *fleet) pauseFor(host string, duration time.Duration) {
+	s.network.pause(host, true)
+	time.Sleep(duration)
+	s.network.pause(host, false)
 }
 
-// cutFor cuts both directions between two hosts and heals them later.
-func (s *fleet) cutFor(a, b string, span time.Duration) {
-	s.n.cut(a, b, true)
-	s.n.cut(b, a, true)
-	time.AfterFunc(span, func() {
-		s.n.cut(a, b, false)
-		s.n.cut(b, a, false)
+// cutFor cuts both directions between two hosts and restores them after duration.
+func (s *fleet) cutFor(a, b string, duration time.Duration) {
+	s.network.cut(a, b, true)
+	s.network.cut(b, a, true)
+	time.AfterFunc(duration, func() {
+		s.network.cut(a, b, false)
+		s.network.cut(b, a, false)
 	})
 }
 
-// loseOrders lets every twelfth order to a worker get no answer, for a while.
-func (s *fleet) loseOrders(late time.Duration) {
+// leaveOrdersUnanswered makes each worker leave every twelfth order unanswered
+// for 3 s and execute it after a delay, or never if the delay is 0.
+func (s *fleet) leaveOrdersUnanswered(executeAfter time.Duration) {
 	for _, w := range s.workers {
-		w.Set(standin.WorkerFaults{Mute: func(n int) bool { return n%12 == 0 }, Late: late})
+		w.Set(standin.WorkerFaults{Mute: func(n int) bool { return n%12 == 0 }, Late: executeAfter})
 	}
 	time.Sleep(3 * time.Second)
 	for _, w := range s.workers {
--- a/failure/fleet_stored_test.go
+++ b/failure/fleet_stored_test.go
@@ -12,141 +12,141 @@
 	"masticbay/work"
 )
 
-// storedJobs are the stored jobs of a test.
+// storedJobs records what callers learned about the stored jobs of a test.
 type storedJobs struct {
-	s *fleet
+	fleet *fleet
 
-	mu        sync.Mutex // guards what follows
-	accepted  map[string]time.Time
-	states    map[string]work.State // last that was told
-	unknown   []string              // accepted jobs that an entry did not know
-	rejected  int
-	cancelled map[string]time.Time // when that was acknowledged
+	mu          sync.Mutex // guards what follows
+	acceptedAt  map[string]time.Time
+	lastState   map[string]work.State // last state that an entry reported
+	unknown     []string              // accepted jobs that an entry reported as unknown
+	notAccepted int
+	cancelledAt map[string]time.Time // when the cancellation was acknowledged
 }
 
-// The pauses of a caller of stored jobs.
+// The intervals and timeouts of callers of stored jobs.
 const (
-	askEvery   = 150 * time.Millisecond
-	storedWait = 1500 * time.Millisecond // for the answer to one request
-	cancelIn   = 3 * time.Second         // from the acknowledgement of a cancellation until nothing starts any more; the users' bound
-	storedEnd  = 20 * time.Second        // from the acceptance of a job; faults last a few seconds, and recovery 12
+	pollInterval      = 150 * time.Millisecond
+	storedCallTimeout = 1500 * time.Millisecond // until a request counts as unanswered
+	cancelLimit       = 3 * time.Second         // from the acknowledgement of a cancellation until no task may start; the users' bound
+	storedJobTimeout  = 20 * time.Second        // from the acceptance of a job until its end; faults last a few seconds, and recovery 12
 )
 
 func (s *fleet) caller() standin.Caller {
-	return standin.Caller{Client: &http.Client{Transport: &http.Transport{DialContext: s.dial("caller"), DisableKeepAlives: true}}, Waits: storedWait}
+	return standin.Caller{Client: &http.Client{Transport: &http.Transport{DialContext: s.dial("caller"), DisableKeepAlives: true}}, Waits: storedCallTimeout}
 }
 
-// loadStored submits stored jobs of two steps for a while and waits for their ends.
-// Each fifth is cancelled soon.
-func (s *fleet) loadStored(span time.Duration) *storedJobs {
-	p := &storedJobs{s: s, accepted: make(map[string]time.Time), states: make(map[string]work.State), cancelled: make(map[string]time.Time)}
+// loadStored submits stored jobs of two steps for a while and waits until they
+// end. It cancels every fifth job right after its acceptance.
+func (s *fleet) loadStored(duration time.Duration) *storedJobs {
+	j := &storedJobs{fleet: s, acceptedAt: make(map[string]time.Time), lastState: make(map[string]work.State), cancelledAt: make(map[string]time.Time)}
 	var callers sync.WaitGroup
-	for k := 0; k < int(span/(50*time.Millisecond)); k++ {
+	for k := 0; k < int(duration/(50*time.Millisecond)); k++ {
 		id := fmt.Sprintf("%d%015x", 1+2*(k%3), k)
-		callers.Go(func() { p.run(k, id) })
+		callers.Go(func() { j.runCaller(k, id) })
 		time.Sleep(50 * time.Millisecond)
 	}
 	callers.Wait()
-	return p
+	return j
 }
 
-// run plays the caller of one job.
-func (p *storedJobs) run(k int, id string) {
-	c := p.s.caller()
-	est := time.Duration(id[0]-'0') * 100 * time.Millisecond
-	first := work.Step{Count: 2, Room: work.Room{CPU: taskCPU}, Estimate: est}
-	second := work.Step{Count: 1, Room: work.Room{CPU: taskCPU}, Estimate: est, After: []int{0}}
-	for try := 0; ; try++ {
-		rep, err := c.Store(p.s.ctx, p.s.rotation(k+try), longQueue.Name, id, first, second)
-		if err == nil && rep.Status == http.StatusOK {
+// runCaller submits one job, cancels it or not, and polls its state.
+func (j *storedJobs) runCaller(k int, id string) {
+	c := j.fleet.caller()
+	estimate := time.Duration(id[0]-'0') * 100 * time.Millisecond
+	first := work.Step{Count: 2, Room: work.Room{CPU: taskCPU}, Estimate: estimate}
+	second := work.Step{Count: 1, Room: work.Room{CPU: taskCPU}, Estimate: estimate, After: []int{0}}
+	for attempt := 0; ; attempt++ {
+		reply, err := c.Store(j.fleet.ctx, j.fleet.frontAddress(k+attempt), longQueue.Name, id, first, second)
+		if err == nil && reply.Status == http.StatusOK {
 			break
 		}
-		if try == 3 {
-			p.mu.Lock()
-			p.rejected++
-			p.mu.Unlock()
+		if attempt == 3 {
+			j.mu.Lock()
+			j.notAccepted++
+			j.mu.Unlock()
 			return
 		}
 		time.Sleep(1300 * time.Millisecond)
 	}
-	p.mu.Lock()
-	p.accepted[id] = time.Now()
-	p.mu.Unlock()
+	j.mu.Lock()
+	j.acceptedAt[id] = time.Now()
+	j.mu.Unlock()
 	if k%5 == 0 {
-		p.cancel(k, id)
+		j.cancel(k, id)
 	}
-	p.ask(k, id)
+	j.pollState(k, id)
 }
 
-func (p *storedJobs) cancel(k int, id string) {
-	c := p.s.caller()
-	rep, err := c.Cancel(p.s.ctx, p.s.rotation(k+1), longQueue.Name, id)
-	if err == nil && rep.Status == http.StatusOK && rep.State == work.Cancelled {
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		p.cancelled[id] = time.Now()
+func (j *storedJobs) cancel(k int, id string) {
+	c := j.fleet.caller()
+	reply, err := c.Cancel(j.fleet.ctx, j.fleet.frontAddress(k+1), longQueue.Name, id)
+	if err == nil && reply.Status == http.StatusOK && reply.State == work.Cancelled {
+		j.mu.Lock()
+		defer j.mu.Unlock()
+		j.cancelledAt[id] = time.Now()
 	}
 }
 
-// ask asks for the state until the job has ended, each time at another entry.
-func (p *storedJobs) ask(k int, id string) {
-	c := p.s.caller()
-	for end := time.Now().Add(storedEnd); time.Now().Before(end); time.Sleep(askEvery) {
+// pollState polls the state of a job until it ends, each time at the next entry.
+func (j *storedJobs) pollState(k int, id string) {
+	c := j.fleet.caller()
+	for deadline := time.Now().Add(storedJobTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		k++
-		rep, err := c.State(p.s.ctx, p.s.rotation(k), longQueue.Name, id)
+		reply, err := c.State(j.fleet.ctx, j.fleet.frontAddress(k), longQueue.Name, id)
 		if err != nil {
 			continue
 		}
-		p.mu.Lock()
-		if rep.Status == http.StatusGone {
-			p.unknown = append(p.unknown, id)
-		} else if rep.Status == http.StatusOK {
-			p.states[id] = rep.State
+		j.mu.Lock()
+		if reply.Status == http.StatusGone {
+			j.unknown = append(j.unknown, id)
+		} else if reply.Status == http.StatusOK {
+			j.lastState[id] = reply.State
 		}
-		p.mu.Unlock()
-		if rep.State == work.Completed || rep.State == work.JobFailed || rep.State == work.Cancelled {
+		j.mu.Unlock()
+		if reply.State == work.Completed || reply.State == work.JobFailed || reply.State == work.Cancelled {
 			return
 		}
 	}
 }
 
-// judge checks the promises to callers of stored jobs.
-func (p *storedJobs) judge(t *testing.T, least int) {
+// checkGuarantees checks the guarantees to callers of stored jobs.
+func (j *storedJobs) checkGuarantees(t *testing.T, minCount int) {
 	t.Helper()
-	workers := p.s.workers[:]
-	for _, wrong := range standin.Repeats(workers...) {
-		t.Error(wrong)
+	workers := j.fleet.workers[:]
+	for _, violation := range standin.Repeats(workers...) {
+		t.Error(violation)
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	t.Logf("%d accepted, %d not, %d cancelled", len(p.accepted), p.rejected, len(p.cancelled))
-	if len(p.accepted) < least {
-		t.Errorf("%d jobs accepted, want %d", len(p.accepted), least)
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	t.Logf("%d accepted, %d not accepted, %d cancelled", len(j.acceptedAt), j.notAccepted, len(j.cancelledAt))
+	if len(j.acceptedAt) < minCount {
+		t.Errorf("%d jobs accepted, want %d", len(j.acceptedAt), minCount)
 	}
-	if len(p.unknown) > 0 {
-		slices.Sort(p.unknown)
-		t.Errorf("accepted jobs were not known: %v", slices.Compact(p.unknown))
+	if len(j.unknown) > 0 {
+		slices.Sort(j.unknown)
+		t.Errorf("accepted jobs were unknown at an entry: %v", slices.Compact(j.unknown))
 	}
-	for id := range p.accepted {
-		at, gone := p.cancelled[id]
+	for id := range j.acceptedAt {
+		at, cancelled := j.cancelledAt[id]
 		switch {
-		case gone && standin.RanAfter(at.Add(cancelIn), id, workers...):
+		case cancelled && standin.RanAfter(at.Add(cancelLimit), id, workers...):
 			t.Errorf("job %s ran after its cancellation was acknowledged", id)
-		case gone && p.states[id] != work.Cancelled, !gone && p.states[id] != work.Completed && p.states[id] != work.Cancelled:
-			t.Errorf("job %s is %q in the end", id, p.states[id])
+		case cancelled && j.lastState[id] != work.Cancelled, !cancelled && j.lastState[id] != work.Completed && j.lastState[id] != work.Cancelled:
+			t.Errorf("job %s: last reported state %q", id, j.lastState[id])
 		}
 	}
 }
 
-// killAll kills all processes of the system and starts them again.
-func (s *fleet) killAll(down time.Duration) {
+// restartAll kills all entries and agents and starts them again after a downtime.
+func (s *fleet) restartAll(downtime time.Duration) {
 	for i := range fleetEntries {
 		s.entry(i).Kill()
 	}
 	for i := range fleetAgents {
 		s.agent(i).Kill()
 	}
-	time.Sleep(down)
+	time.Sleep(downtime)
 	for i := range fleetEntries {
 		s.startEntry(i)
 	}
@@ -155,17 +155,17 @@
 	}
 }
 
-// storedFaults are faults of the store and of everything at once.
+// storedFaults are faults of the store and of all processes at once.
 var storedFaults = []fleetFault{
 	{"nothing", 0, func(*fleet) {}},
-	{"everything killed", 0, func(s *fleet) { s.killAll(time.Second) }},
-	{"everything killed, back at once", 0, func(s *fleet) { s.killAll(200 * time.Millisecond) }},
+	{"everything killed", 0, func(s *fleet) { s.restartAll(time.Second) }},
+	{"everything killed, back at once", 0, func(s *fleet) { s.restartAll(200 * time.Millisecond) }},
 	{"everything killed twice", 0, func(s *fleet) {
-		s.killAll(300 * time.Millisecond)
+		s.restartAll(300 * time.Millisecond)
 		time.Sleep(900 * time.Millisecond)
-		s.killAll(500 * time.Millisecond)
+		s.restartAll(500 * time.Millisecond)
 	}},
-	// Nothing is accepted for most of the time, but what was accepted completes.
+	// No job is accepted for most of the time, but accepted jobs complete.
 	{"store down for longer than a tenure", 0.15, func(s *fleet) {
 		s.store.Set(standin.StoreFaults{Down: true})
 		time.Sleep(8 * time.Second)
@@ -205,31 +205,32 @@
 	}},
 }
 
-// least returns how many of a hundred jobs are accepted at least: half, since callers
-// submit again for four seconds, unless a fault says less.
-func least(part float64) int {
-	if part > 0 && part < 0.5 {
-		return int(100 * part)
+// minAccepted returns how many of a hundred jobs must be accepted: half, since
+// callers resubmit for four seconds, or the minimum share of the fault if that is
+// less.
+func minAccepted(share float64) int {
+	if share > 0 && share < 0.5 {
+		return int(100 * share)
 	}
 	return 50
 }
 
-// TestStoredJobsUnderFaults: a job that was accepted is known at every entry,
-// completes, runs no task again that was done, and does not run once its
-// cancellation was acknowledged.
+// TestStoredJobsUnderFaults checks that an accepted job is known at every entry,
+// completes, repeats no finished task, and starts no task later than the users'
+// bound after its cancellation was acknowledged.
 func TestStoredJobsUnderFaults(t *testing.T) {
 	for _, tc := range append(storedFaults, fleetFaults...) {
 		t.Run(tc.name, func(t *testing.T) {
-			onFleet(t, func(t *testing.T, s *fleet) {
+			runWithFleet(t, func(t *testing.T, s *fleet) {
 				done := make(chan struct{})
 				go func() {
 					defer close(done)
 					time.Sleep(time.Second)
 					tc.fault(s)
 				}()
-				p := s.loadStored(5 * time.Second)
+				j := s.loadStored(5 * time.Second)
 				<-done
-				p.judge(t, least(tc.least))
+				j.checkGuarantees(t, minAccepted(tc.minShare))
 			})
 		})
 	}
--- a/failure/fleet_test.go
+++ b/failure/fleet_test.go
@@ -25,11 +25,11 @@
 	"masticbay/work"
 )
 
-// The size of a fleet on the users' platform, in one bubble.
+// The size of the fleet on the users' platform.
 const (
 	fleetEntries = 3
 	fleetAgents  = 4
-	fleetTasks   = 8 // that one worker runs at once
+	fleetTasks   = 8 // tasks that one worker runs at once
 	taskCPU      = 1000
 )
 
@@ -39,8 +39,8 @@
 	longQueue = work.Queue{Name: "long", Service: service, Priority: 2, MaxAttempts: 3, Stretch: 1.6, Target: 60 * time.Millisecond}
 )
 
-// showLogs lets the duties of a fleet write their logs to standard error.
-var showLogs = flag.Bool("logs", false, "print the logs of the duties of fleets")
+// showLogs makes the entries and agents of a fleet log to standard error.
+var showLogs = flag.Bool("logs", false, "print the logs of the entries and agents of a fleet")
 
 func fleetLog(node string) zerolog.Logger {
 	if !*showLogs {
@@ -49,41 +49,42 @@
 	return zerolog.New(os.Stderr).With().Str("node", node).Timestamp().Logger()
 }
 
-// fleet is an installation on the users' platform: whole duties of entries and
-// agents, stand-ins of the store and of workers, on a network in memory.
+// fleet is an installation on the users' platform: complete entries and agents,
+// and stand-ins for the store and the workers, on an in-memory network.
 type fleet struct {
-	t       *testing.T
-	n       *network
-	store   *standin.Store
-	workers [fleetAgents]*standin.Worker
-	stop    context.CancelFunc
-	ctx     context.Context
-	duties  sync.WaitGroup
+	t          *testing.T
+	network    *network
+	store      *standin.Store
+	workers    [fleetAgents]*standin.Worker
+	stop       context.CancelFunc
+	ctx        context.Context
+	goroutines sync.WaitGroup
 
-	mu      sync.Mutex // guards what follows
-	entries [fleetEntries]*daemon.Entry
-	agents  [fleetAgents]*daemon.Agent
-	replies map[string]standin.Reply
-	replied map[string]time.Time // when the reply came
-	unclear map[string]bool      // jobs of which an earlier submission may have run
-	left    [fleetEntries]bool   // entries out of the balancer's rotation
-	lost    int                  // requests without an answer
-	broken  int                  // of them those whose connection was taken and ended
+	mu            sync.Mutex // guards what follows
+	entries       [fleetEntries]*daemon.Entry
+	agents        [fleetAgents]*daemon.Agent
+	replies       map[string]standin.Reply
+	repliedAt     map[string]time.Time // when the reply arrived
+	mayHaveRun    map[string]bool      // jobs that may have run after an earlier submission
+	outOfRotation [fleetEntries]bool   // entries that the load balancer does not use
+	unanswered    int                  // requests without an answer
+	brokenConns   int                  // unanswered requests whose connection was accepted and then closed
 }
 
-// onFleet runs f in a bubble on a fleet that has found itself, and judges it.
-func onFleet(t *testing.T, f func(t *testing.T, s *fleet)) {
+// runWithFleet runs f in a bubble on a fleet whose members have found each other,
+// and then checks the invariants.
+func runWithFleet(t *testing.T, f func(t *testing.T, s *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFleet(t)
 		time.Sleep(2 * time.Second)
 		f(t, s)
-		s.judge()
+		s.checkInvariants()
 		s.close()
 	})
 }
 
 func newFleet(t *testing.T) *fleet {
-	s := &fleet{t: t, n: newNetwork(), store: standin.NewStore(store.NewMemory(clock.System{})), replies: make(map[string]standin.Reply), replied: make(map[string]time.Time), unclear: make(map[string]bool)}
+	s := &fleet{t: t, network: newNetwork(), store: standin.NewStore(store.NewMemory(clock.System{})), replies: make(map[string]standin.Reply), repliedAt: make(map[string]time.Time), mayHaveRun: make(map[string]bool)}
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	if err := s.store.PutConfig(1, pingQueue, longQueue); err != nil {
 		t.Fatal(err)
@@ -91,12 +92,12 @@
 	s.serve("store", s.store.Handler())
 	for i := range s.workers {
 		s.workers[i] = standin.NewWorker(standin.WorkerConfig{
-			ID: fmt.Sprint("worker", i), Service: service, Labels: []string{"a"}, CPU: fleetTasks * taskCPU, Memory: 1024, Work: workTime,
+			ID: fmt.Sprint("worker", i), Service: service, Labels: []string{"a"}, CPU: fleetTasks * taskCPU, Memory: 1024, Work: taskRunTime,
 		})
 		s.serve(fmt.Sprint("w", i), s.workers[i].Handler())
 		s.startAgent(i)
 		client := &http.Client{Transport: &http.Transport{DialContext: s.dial(fmt.Sprint("w", i))}}
-		s.duties.Go(func() {
+		s.goroutines.Go(func() {
 			s.workers[i].Announce(s.ctx, client, fmt.Sprint("c", i), time.Second)
 			client.CloseIdleConnections()
 		})
@@ -107,38 +108,39 @@
 	return s
 }
 
-// workTime is how long the tasks of a job take: its first digit in tenths of a
-// second.
-func workTime(task string, _ int) (time.Duration, bool) {
+// taskRunTime returns the run time of a task: the first digit of its job's ID, in
+// tenths of a second.
+func taskRunTime(task string, _ int) (time.Duration, bool) {
 	return time.Duration(task[0]-'0') * 100 * time.Millisecond, false
 }
 
 func (s *fleet) serve(address string, h http.Handler) {
-	ln, err := host{s.n, address}.Listen(address)
+	ln, err := host{s.network, address}.Listen(address)
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	srv := &http.Server{Handler: h}
-	s.duties.Go(func() { _ = srv.Serve(ln) })
+	s.goroutines.Go(func() { _ = srv.Serve(ln) })
 	context.AfterFunc(s.ctx, func() { _ = srv.Close() })
 }
 
 func (s *fleet) dial(from string) platform.Dial {
 	return func(ctx context.Context, _, address string) (net.Conn, error) {
-		return webHost{host{s.n, from}}.Dial(ctx, address)
+		return webHost{host{s.network, from}}.Dial(ctx, address)
 	}
 }
 
-// dialLimit ends attempts to connect over a cut, as the processes' own dialers do.
-const dialLimit = time.Second
+// dialTimeout bounds attempts to connect over a cut link, as the dialers of the
+// real processes do.
+const dialTimeout = time.Second
 
-// webHost is a host that also connects to addresses to which an HTTP client has
-// added its default port.
+// webHost is a host that strips the default port which an HTTP client appends to
+// an address.
 type webHost struct{ host }
 
 // Dial implements wire.Network.
 func (h webHost) Dial(ctx context.Context, address string) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, dialLimit)
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	return h.host.Dial(ctx, strings.TrimSuffix(address, ":80"))
 }
@@ -153,7 +155,7 @@
 func (s *fleet) startEntry(i int) {
 	n := s.node(fmt.Sprint("e", i))
 	n.Front, n.Ready = fmt.Sprint("f", i), fmt.Sprint("r", i)
-	e, err := daemon.StartEntry(daemon.EntryOptions{Node: &n, Log: fleetLog(n.Name), Clock: clock.System{}, Network: webHost{host{s.n, n.Name}}})
+	e, err := daemon.StartEntry(daemon.EntryOptions{Node: &n, Log: fleetLog(n.Name), Clock: clock.System{}, Network: webHost{host{s.network, n.Name}}})
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -165,7 +167,7 @@
 func (s *fleet) startAgent(i int) {
 	n := s.node(fmt.Sprint("a", i))
 	n.Control, n.Worker = fmt.Sprint("c", i), fmt.Sprint("w", i)
-	a, err := daemon.StartAgent(daemon.AgentOptions{Node: &n, Log: fleetLog(n.Name), Clock: clock.System{}, Network: webHost{host{s.n, n.Name}}})
+	a, err := daemon.StartAgent(daemon.AgentOptions{Node: &n, Log: fleetLog(n.Name), Clock: clock.System{}, Network: webHost{host{s.network, n.Name}}})
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -186,70 +188,73 @@
 	return s.agents[i]
 }
 
-// home returns the number of the entry that acts as home.
+// home returns the index of the entry that is home, the coordinator that places
+// the tasks.
 func (s *fleet) home() int {
 	for i := range fleetEntries {
 		if s.entry(i).IsHome() {
 			return i
 		}
 	}
-	s.t.Fatal("no entry acts as home")
+	s.t.Fatal("no entry is home")
 	return 0
 }
 
-// load submits jobs at some entries for a while and waits for the answers. A
-// test calls it once.
-func (s *fleet) load(span time.Duration, entries ...int) {
+// load submits jobs to the given entries for a while and waits for the answers. A
+// test calls it only once, since the job IDs repeat.
+func (s *fleet) load(duration time.Duration, entries ...int) {
 	var callers sync.WaitGroup
-	for k := 0; k < int(span/(25*time.Millisecond)); k++ {
-		q, tasks := pingQueue, 4
+	for k := 0; k < int(duration/(25*time.Millisecond)); k++ {
+		queue, tasks := pingQueue, 4
 		id := fmt.Sprintf("1%015x", k)
 		if k%8 == 0 {
-			q, tasks, id = longQueue, 2, fmt.Sprintf("9%015x", k)
+			queue, tasks, id = longQueue, 2, fmt.Sprintf("9%015x", k)
 		}
-		callers.Go(func() { s.submit(entries[k%len(entries)], q, id, tasks) })
+		callers.Go(func() { s.submit(entries[k%len(entries)], queue, id, tasks) })
 		time.Sleep(25 * time.Millisecond)
 	}
 	callers.Wait()
 }
 
-// submit submits a job, and again where a connection broke, as callers do.
-func (s *fleet) submit(entry int, q work.Queue, id string, tasks int) {
-	c := standin.Caller{Client: &http.Client{Transport: &http.Transport{DialContext: s.dial("caller"), DisableKeepAlives: true}}, Waits: 6 * time.Second}
+// submit submits a job, and resubmits it once to the next entry if it gets no
+// answer, as callers do.
+func (s *fleet) submit(entry int, queue work.Queue, id string, tasks int) {
+	caller := standin.Caller{Client: &http.Client{Transport: &http.Transport{DialContext: s.dial("caller"), DisableKeepAlives: true}}, Waits: 6 * time.Second}
 	step := work.Step{Count: tasks, Room: work.Room{CPU: taskCPU}, Estimate: time.Duration(id[0]-'0') * 100 * time.Millisecond}
-	for try := range 2 {
-		rep, err := c.Submit(s.ctx, s.rotation(entry+try), q.Name, id, step)
+	for attempt := range 2 {
+		reply, err := caller.Submit(s.ctx, s.frontAddress(entry+attempt), queue.Name, id, step)
 		s.mu.Lock()
-		if err == nil && rep.Status != http.StatusGatewayTimeout {
-			s.replies[id], s.replied[id] = rep, time.Now()
+		if err == nil && reply.Status != http.StatusGatewayTimeout {
+			s.replies[id], s.repliedAt[id] = reply, time.Now()
 			s.mu.Unlock()
 			return
 		}
-		s.lost++
-		s.unclear[id] = true
+		s.unanswered++
+		s.mayHaveRun[id] = true
 		if err != nil && !errors.Is(err, syscall.ECONNREFUSED) {
-			s.broken++
+			s.brokenConns++
 		}
 		s.mu.Unlock()
 		time.Sleep(1300 * time.Millisecond)
 	}
 }
 
-// rotation returns the front address of an entry that the balancer uses.
-func (s *fleet) rotation(entry int) string {
+// frontAddress returns the front address of the first entry, from the given one
+// on, that the load balancer uses.
+func (s *fleet) frontAddress(entry int) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for s.left[entry%fleetEntries] {
+	for s.outOfRotation[entry%fleetEntries] {
 		entry++
 	}
 	return fmt.Sprint("f", entry%fleetEntries)
 }
 
-// setRotation takes an entry out of the balancer's rotation, or back.
-func (s *fleet) setRotation(entry int, in bool) {
+// setInRotation sets whether the load balancer uses an entry.
+func (s *fleet) setInRotation(entry int, used bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.left[entry] = !in
+	s.outOfRotation[entry] = !used
 }
 
 // counts returns how many jobs were answered, completed and rejected.
@@ -267,32 +272,32 @@
 	return len(s.replies), completed, rejected
 }
 
-// judge checks what must hold whatever failed.
-func (s *fleet) judge() {
+// checkInvariants checks what must hold under every failure.
+func (s *fleet) checkInvariants() {
 	s.t.Helper()
-	for _, wrong := range standin.Overlaps(s.workers[:]...) {
-		s.t.Error(wrong)
+	for _, violation := range standin.Overlaps(s.workers[:]...) {
+		s.t.Error(violation)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, r := range s.replies {
-		s.judgeRejection(id, &r)
+		s.checkRejection(id, &r)
 		if r.Status == http.StatusServiceUnavailable && r.RetryAfter <= 0 {
-			s.t.Errorf("job %s was rejected without a time to come back", id)
+			s.t.Errorf("job %s was rejected without a retry-after time", id)
 		}
 		if r.State == work.JobFailed {
-			s.t.Errorf("job %s failed although no task does", id)
+			s.t.Errorf("job %s failed although no task failed", id)
 		}
 	}
 }
 
-// judgeRejection checks that a job that was rejected has not run. One that was
-// submitted before and got no answer, or was said to be unknown, may have run
-// then, but not later.
-func (s *fleet) judgeRejection(id string, r *standin.Reply) {
+// checkRejection checks that a rejected job has not run. If an earlier submission
+// got no answer or a gateway timeout, the job may have run before the rejection,
+// but not after it.
+func (s *fleet) checkRejection(id string, r *standin.Reply) {
 	since := time.Time{}
-	if s.unclear[id] {
-		since = s.replied[id]
+	if s.mayHaveRun[id] {
+		since = s.repliedAt[id]
 	}
 	if r.Status == http.StatusServiceUnavailable && standin.RanAfter(since, id, s.workers[:]...) {
 		s.t.Errorf("job %s was rejected and ran", id)
@@ -309,6 +314,6 @@
 	}
 	s.mu.Unlock()
 	s.stop()
-	s.duties.Wait()
-	time.Sleep(settle) // calls that wait end by their own limits
+	s.goroutines.Wait()
+	time.Sleep(settleTime) // pending calls end by their own timeouts
 }
--- a/failure/history_test.go
+++ b/failure/history_test.go
@@ -11,15 +11,15 @@
 	"masticbay/job"
 )
 
-// op is one submission that was answered.
+// op is one answered submission.
 type op struct {
-	caller   int
-	answer   job.Answer
-	call     time.Time
-	returned time.Time
+	caller     int
+	answer     job.Answer
+	calledAt   time.Time
+	returnedAt time.Time
 }
 
-func byKey(ops []op) map[job.Key][]op {
+func groupByKey(ops []op) map[job.Key][]op {
 	m := make(map[job.Key][]op)
 	for _, o := range ops {
 		m[o.answer.Key] = append(m[o.answer.Key], o)
@@ -27,28 +27,29 @@
 	return m
 }
 
-// outcomes is a job key as callers see it: nothing has run, or the results of
-// its only run, which all complete answers show. An answer that proves that a
-// task did not run comes before the run; other failed answers prove nothing.
-var outcomes = porcupine.Model{
+// jobKeyModel models a job key as callers see it. The state is empty before the
+// run, and then holds the results of the only run, which all complete answers
+// show. An answer that proves that a task did not run must precede the run; other
+// failed answers prove nothing.
+var jobKeyModel = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, _, output any) (bool, any) {
 		ans := output.(job.Answer)
-		ran := state.(string)
+		ranResults := state.(string)
 		switch {
-		case ans.Status == job.Complete && ran == "":
-			return true, results(&ans)
+		case ans.Status == job.Complete && ranResults == "":
+			return true, joinResults(&ans)
 		case ans.Status == job.Complete:
-			return ran == results(&ans), ran
+			return ranResults == joinResults(&ans), ranResults
 		case ans.Counts.NotRun > 0:
-			return ran == "", ran
+			return ranResults == "", ranResults
 		}
-		return true, ran
+		return true, ranResults
 	},
 	Equal: func(a, b any) bool { return a == b },
 }
 
-func results(a *job.Answer) string {
+func joinResults(a *job.Answer) string {
 	var b bytes.Buffer
 	for _, r := range a.Results {
 		b.Write(r)
@@ -56,19 +57,19 @@
 	return b.String()
 }
 
-// possible reports whether some order of the answers of one key, which keeps to
-// their times, agrees with at most one run.
-func possible(ops []op) bool {
+// isLinearizable reports whether the answers of one key, in some order consistent
+// with their times, agree with at most one run.
+func isLinearizable(ops []op) bool {
 	var history []porcupine.Operation
 	for _, o := range ops {
 		history = append(history, porcupine.Operation{
-			ClientId: o.caller, Output: o.answer, Call: o.call.UnixNano(), Return: o.returned.UnixNano(),
+			ClientId: o.caller, Output: o.answer, Call: o.calledAt.UnixNano(), Return: o.returnedAt.UnixNano(),
 		})
 	}
-	return porcupine.CheckOperations(outcomes, history)
+	return porcupine.CheckOperations(jobKeyModel, history)
 }
 
-func TestHistoriesWithTwoRunsAreCaught(t *testing.T) {
+func TestHistoryWithTwoRunsIsRejected(t *testing.T) {
 	at := func(second int64) time.Time { return time.Unix(second, 0) }
 	complete := func(result string) job.Answer {
 		return job.Answer{Key: "t/k", Status: job.Complete, Results: []json.RawMessage{json.RawMessage(result)}}
@@ -78,14 +79,14 @@
 		first, second job.Answer
 		want          bool
 	}{
-		"same run":        {complete("a"), complete("a"), true},
-		"two runs":        {complete("a"), complete("b"), false},
-		"run after none":  {notRun, complete("a"), true},
-		"denied after it": {complete("a"), notRun, false},
+		"same run":          {complete("a"), complete("a"), true},
+		"two runs":          {complete("a"), complete("b"), false},
+		"run after not run": {notRun, complete("a"), true},
+		"not run after run": {complete("a"), notRun, false},
 	} {
-		ops := []op{{answer: tc.first, call: at(1), returned: at(2)}, {caller: 1, answer: tc.second, call: at(3), returned: at(4)}}
-		if got := possible(ops); got != tc.want {
-			t.Errorf("%s: possible %t, want %t", name, got, tc.want)
+		ops := []op{{answer: tc.first, calledAt: at(1), returnedAt: at(2)}, {caller: 1, answer: tc.second, calledAt: at(3), returnedAt: at(4)}}
+		if got := isLinearizable(ops); got != tc.want {
+			t.Errorf("%s: linearizable %t, want %t", name, got, tc.want)
 		}
 	}
 }
--- a/failure/network_test.go
+++ b/failure/network_test.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// latency is the time from one host to another.
+// latency is the one-way delay between two hosts.
 const latency = 500 * time.Microsecond
 
-// network connects hosts in memory. What a link or a paused host holds back
-// arrives later, as TCP would bring it.
+// network connects hosts in memory. Data that a cut link or a paused host holds
+// back arrives later, as TCP retransmission would deliver it.
 type network struct {
-	mu        sync.Mutex // guards what follows
-	listeners map[string]*listener
-	cuts      map[link]bool
-	paused    map[string]bool
-	silence   time.Time     // connections that were made before it carry nothing
-	changed   chan struct{} // closed and replaced when a cut or a pause ends or begins
+	mu               sync.Mutex // guards what follows
+	listeners        map[string]*listener
+	cuts             map[link]bool
+	paused           map[string]bool
+	blackholedBefore time.Time     // connections opened before this time carry no data
+	changed          chan struct{} // closed and replaced when a cut or a pause begins or ends
 }
 
 // link is one direction between two hosts.
@@ -35,7 +35,7 @@
 	}
 }
 
-func (n *network) change(f func()) {
+func (n *network) update(f func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	f()
@@ -43,35 +43,34 @@
 	n.changed = make(chan struct{})
 }
 
-// cut holds back what from sends to to, until on is false.
+// cut starts or ends holding back the data that one host sends to another.
 func (n *network) cut(from, to string, on bool) {
-	n.change(func() { n.cuts[link{from, to}] = on })
+	n.update(func() { n.cuts[link{from, to}] = on })
 }
 
 func (n *network) pause(host string, on bool) {
-	n.change(func() { n.paused[host] = on })
+	n.update(func() { n.paused[host] = on })
 }
 
-// silenceOpen lets all connections that are open carry nothing any more, without
-// a reset.
-func (n *network) silenceOpen() { n.change(func() { n.silence = time.Now() }) }
+// blackholeOpenConns makes all open connections drop their data, without a reset.
+func (n *network) blackholeOpenConns() { n.update(func() { n.blackholedBefore = time.Now() }) }
 
-func (n *network) silenced(made time.Time) bool {
+func (n *network) isBlackholed(made time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return made.Before(n.silence)
+	return made.Before(n.blackholedBefore)
 }
 
-// blocked reports whether a link holds back, and a channel that is closed when
-// this may have changed.
-func (n *network) blocked(l link) (yes bool, changed <-chan struct{}) {
+// blocked reports whether a link holds its data back. It also returns a channel
+// that is closed when this may have changed.
+func (n *network) blocked(l link) (isBlocked bool, changed <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.cuts[l] || n.paused[l.from] || n.paused[l.to], n.changed
 }
 
-// await waits until a link lets through, or until ctx ends.
-func (n *network) await(ctx context.Context, l link) error {
+// awaitUnblocked waits until a link is not blocked, or until ctx ends.
+func (n *network) awaitUnblocked(ctx context.Context, l link) error {
 	for {
 		blocked, changed := n.blocked(l)
 		if !blocked {
@@ -85,46 +84,46 @@
 	}
 }
 
-// awaken waits until a host is not paused.
-func (n *network) awaken(host string) {
-	_ = n.await(context.Background(), link{host, host})
+// awaitResume blocks while a host is paused.
+func (n *network) awaitResume(host string) {
+	_ = n.awaitUnblocked(context.Background(), link{host, host})
 }
 
-// host is the network as one process sees it.
+// host is the network as seen by one process.
 type host struct {
-	n    *network
-	name string
+	network *network
+	name    string
 }
 
 // Listen implements wire.Network. The address is the name of the host.
 func (h host) Listen(address string) (net.Listener, error) {
-	h.n.mu.Lock()
-	defer h.n.mu.Unlock()
-	l := &listener{n: h.n, address: address, conns: make(chan net.Conn), closed: make(chan struct{})}
-	h.n.listeners[address] = l
+	h.network.mu.Lock()
+	defer h.network.mu.Unlock()
+	l := &listener{network: h.network, address: address, conns: make(chan net.Conn), closed: make(chan struct{})}
+	h.network.listeners[address] = l
 	return l, nil
 }
 
-// Dial implements wire.Network. A paused process still gets connections.
+// Dial implements wire.Network. A paused process still accepts connections.
 func (h host) Dial(ctx context.Context, address string) (net.Conn, error) {
 	for _, l := range []link{{h.name, address}, {address, h.name}} {
-		if h.n.isCut(l) {
+		if h.network.isCut(l) {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
 	}
 	time.Sleep(2 * latency)
-	h.n.mu.Lock()
-	ln := h.n.listeners[address]
-	h.n.mu.Unlock()
+	h.network.mu.Lock()
+	ln := h.network.listeners[address]
+	h.network.mu.Unlock()
 	refused := &net.OpError{Op: "dial", Net: "memory", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
 	if ln == nil {
 		return nil, refused
 	}
-	there, back := newStream(h.n, link{h.name, address}), newStream(h.n, link{address, h.name})
+	toServer, toClient := newStream(h.network, link{h.name, address}), newStream(h.network, link{address, h.name})
 	select {
-	case ln.conns <- &conn{in: there, out: back}:
-		return &conn{in: back, out: there}, nil
+	case ln.conns <- &conn{in: toServer, out: toClient}:
+		return &conn{in: toClient, out: toServer}, nil
 	case <-ln.closed:
 		return nil, refused
 	case <-ctx.Done():
@@ -139,7 +138,7 @@
 }
 
 type listener struct {
-	n       *network
+	network *network
 	address string
 	conns   chan net.Conn
 	closed  chan struct{}
@@ -160,10 +159,10 @@
 func (l *listener) Close() error {
 	l.once.Do(func() {
 		close(l.closed)
-		l.n.mu.Lock()
-		defer l.n.mu.Unlock()
-		if l.n.listeners[l.address] == l {
-			delete(l.n.listeners, l.address)
+		l.network.mu.Lock()
+		defer l.network.mu.Unlock()
+		if l.network.listeners[l.address] == l {
+			delete(l.network.listeners, l.address)
 		}
 	})
 	return nil
--- a/failure/site_test.go
+++ b/failure/site_test.go
@@ -22,7 +22,7 @@
 	"masticbay/target"
 )
 
-// The size and times of a site.
+// The size of a site, and the names and the window that it uses.
 const (
 	agents  = 4
 	slots   = 4
@@ -33,16 +33,16 @@
 
 // site is an installation in one bubble.
 type site struct {
-	t      *testing.T
-	n      *network
-	store  *store.Memory
-	faults storeFaults
-	gauge  gauge
-	policy setting.Policy
-	stop   chan struct{}
-	duties sync.WaitGroup
-	desks  [agents]*desk
-	order  []int // entries by their rank as homes; those that were killed last
+	t          *testing.T
+	network    *network
+	store      *store.Memory
+	faults     storeFaults
+	gauge      gauge
+	policy     setting.Policy
+	stop       chan struct{}
+	goroutines sync.WaitGroup
+	targets    [agents]*fakeTarget
+	ranking    []int // indexes of the entries by their rank as home; killed ones come last
 
 	mu      sync.Mutex // guards what follows
 	entries []*entry.Entry
@@ -50,20 +50,20 @@
 	ops     []op
 }
 
-// onSite runs f in a bubble on a site that needs no claims any more, and judges
-// what callers were told.
-func onSite(t *testing.T, entries int, f func(t *testing.T, s *site), changes ...func(*policy)) {
+// runWithSite runs f in a bubble on a site that no longer needs claims, and then
+// checks the answers that callers got.
+func runWithSite(t *testing.T, entries int, f func(t *testing.T, s *site), changes ...func(*policy)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, entries, changes...)
 		defer s.close()
-		time.Sleep(settle)
-		s.rank()
+		time.Sleep(settleTime)
+		s.readRanking()
 		f(t, s)
-		s.judge()
+		s.checkAnswers()
 	})
 }
 
-// policy is what a test may change of a site.
+// policy holds the settings of a site that a test may change.
 type policy = setting.Policy
 
 func newSite(t *testing.T, entries int, changes ...func(*policy)) *site {
@@ -74,14 +74,14 @@
 	for _, change := range changes {
 		change(&policy)
 	}
-	s := &site{t: t, n: newNetwork(), store: store.NewMemory(clock.System{}), policy: policy, stop: make(chan struct{}), entries: make([]*entry.Entry, entries)}
+	s := &site{t: t, network: newNetwork(), store: store.NewMemory(clock.System{}), policy: policy, stop: make(chan struct{}), entries: make([]*entry.Entry, entries)}
 	for i := range s.entries {
 		s.startEntry(i)
 	}
 	for i := range s.agents {
-		s.desks[i] = newDesk(host{s.n, agentName(i)}, uint64(i), &s.gauge)
+		s.targets[i] = newFakeTarget(host{s.network, agentName(i)}, uint64(i), &s.gauge)
 		s.startAgent(i)
-		s.duties.Go(func() { s.announceDuty(i) })
+		s.goroutines.Go(func() { s.announceLoop(i) })
 	}
 	return s
 }
@@ -97,7 +97,7 @@
 }
 
 func (s *site) startEntry(i int) {
-	h := host{s.n, entryName(i)}
+	h := host{s.network, entryName(i)}
 	cfg := setting.Default[setting.Entry]()
 	cfg.HTTP, cfg.RPC, cfg.Peers, cfg.Policy = "", h.name, s.entryNames(), s.policy
 	cfg.Limits.Deadline = s.policy.Window
@@ -112,10 +112,10 @@
 }
 
 func (s *site) startAgent(i int) {
-	h := host{s.n, agentName(i)}
+	h := host{s.network, agentName(i)}
 	cfg := setting.Default[setting.Agent]()
 	cfg.HTTP, cfg.RPC, cfg.Entries, cfg.Policy = "", h.name, s.entryNames(), s.policy
-	a, err := agent.Start(cfg, agent.Options{Log: zerolog.Nop(), Network: h, Target: s.desks[i]})
+	a, err := agent.Start(cfg, agent.Options{Log: zerolog.Nop(), Network: h, Target: s.targets[i]})
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -136,22 +136,22 @@
 	return s.agents[i]
 }
 
-// announceDuty lets a target announce itself.
-func (s *site) announceDuty(i int) {
-	d := s.desks[i]
+// announceLoop sends the announcements of a target to its agent every second.
+func (s *site) announceLoop(i int) {
+	f := s.targets[i]
 	for s.sleep(time.Second) {
-		ann, ok := d.announcement()
+		announcement, ok := f.nextAnnouncement()
 		if !ok {
 			continue
 		}
-		s.n.awaken(d.host.name)
-		if err := s.agent(i).Hear(ann); err != nil {
+		s.network.awaitResume(f.host.name)
+		if err := s.agent(i).Hear(announcement); err != nil {
 			s.t.Error(err)
 		}
 	}
 }
 
-// sleep reports false if the site has been closed.
+// sleep waits for d. It reports false if the site was closed meanwhile.
 func (s *site) sleep(d time.Duration) bool {
 	select {
 	case <-time.After(d):
@@ -161,28 +161,29 @@
 	}
 }
 
-// rank notes which entry jobs belong to, and those that take its place in turn.
-func (s *site) rank() {
-	var reg member.Registry
-	st, err := s.entry(0).Status(context.Background())
+// readRanking reads the rank of the entries: the home first, then its successors
+// in order.
+func (s *site) readRanking() {
+	var registry member.Registry
+	status, err := s.entry(0).Status(context.Background())
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	reg.Entries = st.Entries
-	for _, e := range reg.Rank(service) {
-		s.order = append(s.order, slices.Index(s.entryNames(), e.Address))
+	registry.Entries = status.Entries
+	for _, e := range registry.Rank(service) {
+		s.ranking = append(s.ranking, slices.Index(s.entryNames(), e.Address))
 	}
 }
 
-// killHome ends the entry that jobs belong to now, and returns its number.
+// killHome kills the entry that is home, and returns its index.
 func (s *site) killHome() (killed int) {
-	killed = s.order[0]
+	killed = s.ranking[0]
 	s.entry(killed).Kill()
-	s.order = append(s.order[1:], killed)
+	s.ranking = append(s.ranking[1:], killed)
 	return killed
 }
 
-// close ends everything.
+// close kills all members and waits for the goroutines.
 func (s *site) close() {
 	for i := range s.entries {
 		s.entry(i).Kill()
@@ -191,19 +192,19 @@
 		s.agent(i).Kill()
 	}
 	close(s.stop)
-	s.duties.Wait()
-	time.Sleep(callsEnd)
+	s.goroutines.Wait()
+	time.Sleep(maxCallTime)
 }
 
-// callsEnd is longer than any call of a member that has ended goes on.
-const callsEnd = time.Minute
+// maxCallTime is longer than any call of a killed member can last.
+const maxCallTime = time.Minute
 
-// judge compares the answers with the journals and with one another.
-func (s *site) judge() {
+// checkAnswers compares the answers with the journals and with each other.
+func (s *site) checkAnswers() {
 	s.t.Helper()
 	var journals []map[target.Started]int
-	for _, d := range s.desks {
-		journals = append(journals, d.journal.Counts())
+	for _, f := range s.targets {
+		journals = append(journals, f.journal.Counts())
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -211,12 +212,12 @@
 	for _, o := range s.ops {
 		answers = append(answers, o.answer)
 	}
-	if v := demo.Judge(answers, journals); v.Wrong() {
-		s.t.Errorf("promises were broken: %+v", v)
+	if verdict := demo.Judge(answers, journals); verdict.Wrong() {
+		s.t.Errorf("guarantees were broken: %+v", verdict)
 	}
-	for key, ops := range byKey(s.ops) {
-		if !possible(ops) {
-			s.t.Errorf("no order explains the answers of %s: %+v", key, ops)
+	for key, ops := range groupByKey(s.ops) {
+		if !isLinearizable(ops) {
+			s.t.Errorf("the answers of %s are not linearizable: %+v", key, ops)
 		}
 	}
 }
--- a/integration/site_test.go
+++ b/integration/site_test.go
@@ -25,6 +25,7 @@
 	"masticbay/target"
 )
 
+// binary is the path of the program under test.
 var binary string
 
 // TestMain builds the program once.
@@ -44,22 +45,22 @@
 
 // site is an installation of real processes.
 type site struct {
-	t        *testing.T
-	dir      string
-	platform string
-	entries  []string // HTTP addresses
-	proxies  []*toxiproxy.Proxy
-	mu       sync.Mutex // guards procs
-	procs    map[string]*exec.Cmd
+	t            *testing.T
+	dir          string
+	platform     string
+	entries      []string // HTTP addresses
+	agentProxies []*toxiproxy.Proxy
+	mu           sync.Mutex // guards processes
+	processes    map[string]*exec.Cmd
 }
 
-const awaitLimit = 60 * time.Second
+const awaitTimeout = 60 * time.Second
 
-// newSite starts a key-value stand-in, entries, and agents with targets. Each
-// agent is reached through a proxy.
+// newSite starts a stand-in for the key-value service, entries, and agents with
+// their targets. The entries reach each agent through a proxy.
 func newSite(t *testing.T, entries, agents int, window string) *site {
 	t.Helper()
-	s := &site{t: t, dir: t.TempDir(), procs: make(map[string]*exec.Cmd)}
+	s := &site{t: t, dir: t.TempDir(), processes: make(map[string]*exec.Cmd)}
 	t.Cleanup(s.close)
 	free := freeAddresses(t, 1+2*entries+4*agents)
 	next := func() string { a := free[0]; free = free[1:]; return a }
@@ -73,28 +74,28 @@
 	list := `["` + strings.Join(rpcs, `", "`) + `"]`
 	policy := fmt.Sprintf("[policy]\nwindow = %q\nheartbeat = \"500ms\"\npeerInterval = \"200ms\"\nunclearLimit = \"3s\"\nclaimLimit = \"1s\"\n", window)
 	for i := range entries {
-		s.write(name("entry", i), "role = \"entry\"\nhttp = %q\nrpc = %q\nplatform = \"http://%s\"\npeers = %s\n%s[limits]\ndeadline = %q\n",
+		s.write(processName("entry", i), "role = \"entry\"\nhttp = %q\nrpc = %q\nplatform = \"http://%s\"\npeers = %s\n%s[limits]\ndeadline = %q\n",
 			s.entries[i], rpcs[i], s.platform, list, policy, window)
 	}
 	for i := range agents {
-		rpc, advertise, web, task := next(), next(), next(), next()
-		s.proxy(advertise, rpc)
-		s.write(name("agent", i), "role = \"agent\"\nrpc = %q\nadvertise = %q\nhttp = %q\nentries = %s\n%s", rpc, advertise, web, list, policy)
-		s.write(name("target", i), "role = \"target\"\nhttp = %q\nagent = \"http://%s\"\nname = \"desk%d\"\njournal = %q\nmedian = \"60ms\"\nannounce = \"200ms\"\nseed = %d\n",
-			task, web, i, s.journal(i), i)
+		rpc, advertise, agentHTTP, targetHTTP := next(), next(), next(), next()
+		s.addProxy(advertise, rpc)
+		s.write(processName("agent", i), "role = \"agent\"\nrpc = %q\nadvertise = %q\nhttp = %q\nentries = %s\n%s", rpc, advertise, agentHTTP, list, policy)
+		s.write(processName("target", i), "role = \"target\"\nhttp = %q\nagent = \"http://%s\"\nname = \"desk%d\"\njournal = %q\nmedian = \"60ms\"\nannounce = \"200ms\"\nseed = %d\n",
+			targetHTTP, agentHTTP, i, s.journal(i), i)
 	}
 	s.start("platform", "platform")
 	for i := range entries {
-		s.start("entry", name("entry", i))
+		s.start("entry", processName("entry", i))
 	}
 	for i := range agents {
-		s.start("agent", name("agent", i))
-		s.start("target", name("target", i))
+		s.start("agent", processName("agent", i))
+		s.start("target", processName("target", i))
 	}
 	return s
 }
 
-func name(role string, i int) string { return fmt.Sprintf("%s%d", role, i) }
+func processName(role string, i int) string { return fmt.Sprintf("%s%d", role, i) }
 
 func freeAddresses(t *testing.T, n int) (addrs []string) {
 	t.Helper()
@@ -109,7 +110,7 @@
 	return addrs
 }
 
-func (s *site) journal(i int) string { return filepath.Join(s.dir, name("journal", i)) }
+func (s *site) journal(i int) string { return filepath.Join(s.dir, processName("journal", i)) }
 
 func (s *site) write(file, format string, args ...any) {
 	s.t.Helper()
@@ -119,17 +120,17 @@
 	}
 }
 
-func (s *site) proxy(listen, upstream string) {
+func (s *site) addProxy(listen, upstream string) {
 	log := zerolog.Nop()
 	p := toxiproxy.NewProxy(toxiproxy.NewServer(toxiproxy.NewMetricsContainer(nil), log), upstream, listen, upstream)
 	if err := p.Start(); err != nil {
 		s.t.Fatal(err)
 	}
 	s.t.Cleanup(p.Stop)
-	s.proxies = append(s.proxies, p)
+	s.agentProxies = append(s.agentProxies, p)
 }
 
-// start starts the process that file configures.
+// start starts a process with the configuration file and the log of that name.
 func (s *site) start(role, file string) {
 	s.t.Helper()
 	cmd := exec.Command(binary, role, "--config", filepath.Join(s.dir, file+".toml"))
@@ -144,23 +145,23 @@
 	_ = out.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.procs[file] = cmd
+	s.processes[file] = cmd
 }
 
 func (s *site) signal(file string, sig os.Signal) *exec.Cmd {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	cmd := s.procs[file]
+	cmd := s.processes[file]
 	if err := cmd.Process.Signal(sig); err != nil {
 		s.t.Errorf("signalling %s: %v", file, err)
 	}
 	return cmd
 }
 
-// kill ends a process abruptly.
+// kill kills a process and waits for its end.
 func (s *site) kill(file string) { _ = s.signal(file, syscall.SIGKILL).Wait() }
 
-// stop ends a process as planned; it must end by itself with the code 0.
+// stop sends SIGTERM to a process, which must then exit with the code 0.
 func (s *site) stop(file string) {
 	s.t.Helper()
 	if err := s.signal(file, syscall.SIGTERM).Wait(); err != nil {
@@ -171,7 +172,7 @@
 func (s *site) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, cmd := range s.procs {
+	for _, cmd := range s.processes {
 		_ = cmd.Process.Signal(syscall.SIGCONT)
 		_ = cmd.Process.Kill()
 		_ = cmd.Wait()
@@ -195,12 +196,12 @@
 // await waits until cond holds at entry i.
 func (s *site) await(i int, what string, cond func(entry.StatusReply) bool) {
 	s.t.Helper()
-	for end := time.Now().Add(awaitLimit); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(awaitTimeout); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		if st, err := s.status(i); err == nil && cond(st) {
 			return
 		}
 	}
-	s.t.Fatalf("entry %d: %s did not come about in %v", i, what, awaitLimit)
+	s.t.Fatalf("entry %d: %s: condition not met in %v", i, what, awaitTimeout)
 }
 
 // awaitAll waits until cond holds at every entry.
@@ -211,20 +212,21 @@
 	}
 }
 
-// ready reports whether n agents are listed and jobs run without claims.
-func ready(n int) func(entry.StatusReply) bool {
+// readyWithoutClaims returns a condition: at least n agents are ready, and jobs
+// run without claims.
+func readyWithoutClaims(n int) func(entry.StatusReply) bool {
 	return func(st entry.StatusReply) bool {
-		up := 0
+		count := 0
 		for _, a := range st.Agents {
 			if a.State == "ready" {
-				up++
+				count++
 			}
 		}
-		return up >= n && st.Settled
+		return count >= n && st.Settled
 	}
 }
 
-// setFaults sets the switches of the key-value stand-in.
+// setFaults sets the faults of the key-value stand-in.
 func (s *site) setFaults(body string) {
 	s.t.Helper()
 	req, err := http.NewRequest(http.MethodPut, "http://"+s.platform+"/faults", strings.NewReader(body))
@@ -238,13 +240,13 @@
 	_ = resp.Body.Close()
 }
 
-// crowd submits jobs from several callers, who resubmit to the next entry when
+// workload submits jobs from several callers, which resubmit to the next entry if
 // they get no answer.
-type crowd struct {
-	s       *site
+type workload struct {
+	site    *site
 	prefix  string
 	callers int
-	jobs    int // for each caller
+	jobs    int // per caller
 	tasks   int
 
 	mu         sync.Mutex // guards what follows
@@ -253,61 +255,62 @@
 	refusals   map[string]int
 }
 
-func (c *crowd) run() {
+func (w *workload) run() {
 	var wg sync.WaitGroup
-	for i := range c.callers {
+	for i := range w.callers {
 		wg.Go(func() {
-			for n := range c.jobs {
-				c.submit(i, n)
+			for n := range w.jobs {
+				w.submit(i, n)
 			}
 		})
 	}
 	wg.Wait()
 }
 
-// submit submits one job until it is answered, waiting as long as refusals ask
-// for.
-func (c *crowd) submit(i, n int) {
+// submit submits one job until it is answered. After a refusal it waits as long as
+// the refusal asks.
+func (w *workload) submit(i, n int) {
 	req := entry.SubmitRequest{
-		Key: fmt.Sprintf("%s-%d-%d", c.prefix, i, n), Team: "laval", Service: "pickup",
-		Idempotent: n%4 == 3, Tasks: make([]entry.TaskRequest, c.tasks),
+		Key: fmt.Sprintf("%s-%d-%d", w.prefix, i, n), Team: "laval", Service: "pickup",
+		Idempotent: n%4 == 3, Tasks: make([]entry.TaskRequest, w.tasks),
 	}
 	var err error
-	for end, try := time.Now().Add(awaitLimit), 0; time.Now().Before(end); try++ {
+	for deadline, attempt := time.Now().Add(awaitTimeout), 0; time.Now().Before(deadline); attempt++ {
 		var ans job.Answer
-		ans, err = load.Submit(context.Background(), c.s.url((i+n+try)%len(c.s.entries)), &req)
+		ans, err = load.Submit(context.Background(), w.site.url((i+n+attempt)%len(w.site.entries)), &req)
 		if err == nil {
-			c.mu.Lock()
-			defer c.mu.Unlock()
-			c.answers = append(c.answers, ans)
+			w.mu.Lock()
+			defer w.mu.Unlock()
+			w.answers = append(w.answers, ans)
 			return
 		}
 		req.Resubmission = true
-		c.refused(err)
+		w.countRefusal(err)
 		pause := 50 * time.Millisecond
 		if refused, ok := errors.AsType[*load.RefusedError](err); ok {
 			pause = max(pause, time.Duration(refused.RetryAfter*float64(time.Second)))
 		}
 		time.Sleep(pause)
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.unanswered++
-	c.s.t.Log(err)
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.unanswered++
+	w.site.t.Log(err)
 }
 
-// refused counts the reasons for which callers had to try again.
-func (c *crowd) refused(err error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.refusals == nil {
-		c.refusals = make(map[string]int)
-	}
-	c.refusals[errors.Cause(err).Error()]++
+// countRefusal counts the errors after which callers resubmitted.
+func (w *workload) countRefusal(err error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.refusals == nil {
+		w.refusals = make(map[string]int)
+	}
+	w.refusals[errors.Cause(err).Error()]++
 }
 
-// judge compares the answers with the journals of the targets.
-func (s *site) judge(cs ...*crowd) (v demo.Verdict, failed int) {
+// checkAnswers compares the answers with the journals of the targets. It returns
+// the verdict and the number of failed jobs.
+func (s *site) checkAnswers(workloads ...*workload) (v demo.Verdict, failed int) {
 	s.t.Helper()
 	var journals []map[target.Started]int
 	files, _ := filepath.Glob(filepath.Join(s.dir, "journal*"))
@@ -324,11 +327,11 @@
 		journals = append(journals, counts)
 	}
 	var answers []job.Answer
-	for _, c := range cs {
-		s.t.Logf("%s: tried again after %v", c.prefix, c.refusals)
-		answers = append(answers, c.answers...)
-		if c.unanswered > 0 {
-			s.t.Errorf("%d callers got no answer", c.unanswered)
+	for _, w := range workloads {
+		s.t.Logf("%s: resubmitted after %v", w.prefix, w.refusals)
+		answers = append(answers, w.answers...)
+		if w.unanswered > 0 {
+			s.t.Errorf("%d submissions got no answer", w.unanswered)
 		}
 	}
 	for i := range answers {
@@ -339,25 +342,25 @@
 	}
 	v = demo.Judge(answers, journals)
 	if v.Wrong() {
-		s.t.Errorf("promises were broken: %+v", v)
+		s.t.Errorf("guarantees were broken: %+v", v)
 	}
 	s.t.Logf("%d answers, %d failed, %+v", len(answers), failed, v)
 	return v, failed
 }
 
-// submitLong submits one job of one task that runs for the given time.
-func (c *crowd) submitLong(millis int) {
+// submitLong submits one job of one task with the given run time.
+func (w *workload) submitLong(millis int) {
 	req := entry.SubmitRequest{
-		Key: c.prefix, Team: "laval", Service: "pickup",
+		Key: w.prefix, Team: "laval", Service: "pickup",
 		Tasks: []entry.TaskRequest{{Payload: fmt.Appendf(nil, `{"runMillis":%d}`, millis)}},
 	}
-	ans, err := load.Submit(context.Background(), c.s.url(0), &req)
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	ans, err := load.Submit(context.Background(), w.site.url(0), &req)
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	if err != nil {
-		c.unanswered++
-		c.s.t.Log(err)
+		w.unanswered++
+		w.site.t.Log(err)
 		return
 	}
-	c.answers = append(c.answers, ans)
+	w.answers = append(w.answers, ans)
 }
