--- a/bench/ideal.go
+++ b/bench/ideal.go
@@ -7,57 +7,57 @@
 	"masticbay/queue"
 )
 
-// ideal plays the arrivals over one omniscient queue: no network, tasks go to
-// the fastest free slot, in the order of package queue. It returns the
-// response time of each job.
-func (sc *Scenario) ideal(as []arrival) map[job.Key]time.Duration {
+// idealResponseTimes returns the response time of each job if one central queue,
+// without a network, starts tasks on the fastest free slot in the order of package
+// queue.
+func (sc *Scenario) idealResponseTimes(arrivals []arrival) map[job.Key]time.Duration {
 	var c clock
-	c.ending = 1 << 62
-	var q queue.Queue
+	c.endAt = 1 << 62
+	var waiting queue.Queue
 	speeds := sc.Workload.speeds()
-	free := make([]int, numAgents)
-	for i := range free {
-		free[i] = numSlots
+	freeSlots := make([]int, numAgents)
+	for i := range freeSlots {
+		freeSlots[i] = numSlots
 	}
-	left := make(map[job.Key]int)
-	next := make(map[job.Key]int)
+	unfinished := make(map[job.Key]int)
+	nextTask := make(map[job.Key]int)
 	jobs := make(map[job.Key]*arrival)
-	took := make(map[job.Key]time.Duration)
+	responseTimes := make(map[job.Key]time.Duration)
 	assign := func() {
-		for i := range free {
-			for free[i] > 0 && q.Len() > 0 {
-				it, _ := q.Next(func(string) bool { return true })
-				q.Take(it.Key)
-				free[i]--
-				a := jobs[it.Key]
-				size := sc.runTime(i, c.now, a.sizes[next[it.Key]], speeds[i])
-				next[it.Key]++
-				c.after(size, func() {
-					free[i]++
-					left[it.Key]--
-					if left[it.Key] == 0 {
-						took[it.Key] = c.now - a.at
+		for i := range freeSlots {
+			for freeSlots[i] > 0 && waiting.Len() > 0 {
+				item, _ := waiting.Next(func(string) bool { return true })
+				waiting.Take(item.Key)
+				freeSlots[i]--
+				a := jobs[item.Key]
+				runTime := sc.runTime(i, c.elapsed, a.taskTimes[nextTask[item.Key]], speeds[i])
+				nextTask[item.Key]++
+				c.after(runTime, func() {
+					freeSlots[i]++
+					unfinished[item.Key]--
+					if unfinished[item.Key] == 0 {
+						responseTimes[item.Key] = c.elapsed - a.at
 					}
 				})
 			}
 		}
 	}
-	for i := range as {
-		a := &as[i]
+	for i := range arrivals {
+		a := &arrivals[i]
 		if a.spec.Service != service {
 			continue
 		}
 		c.after(a.at, func() {
-			jobs[a.spec.Key], left[a.spec.Key] = a, len(a.sizes)
-			q.Push(queue.Item{Key: a.spec.Key, Team: a.spec.Team, Waiting: len(a.sizes)}, 1)
+			jobs[a.spec.Key], unfinished[a.spec.Key] = a, len(a.taskTimes)
+			waiting.Push(queue.Item{Key: a.spec.Key, Team: a.spec.Team, Waiting: len(a.taskTimes)}, 1)
 		})
 	}
 	c.run(assign)
-	return took
+	return responseTimes
 }
 
-// runTime returns how long a target takes for a task that starts now. In the
-// ideal, too, a straggler is slow; dead and failing targets are left out.
+// runTime returns the run time of a task that starts now at a target. Stragglers
+// are slow in the ideal as well; it has no dead or failing targets.
 func (sc *Scenario) runTime(target int, now, size time.Duration, speed float64) time.Duration {
 	if sc.has(Straggler) && target == faultTarget && now >= faultAt {
 		speed /= 3
@@ -65,5 +65,5 @@
 	return time.Duration(float64(size) / speed)
 }
 
-// faultTarget is the target that faults befall: one of the fast ones.
+// faultTarget is the index of the target that has the faults, a fast one.
 const faultTarget = 1
--- a/bench/overload_test.go
+++ b/bench/overload_test.go
@@ -6,31 +6,31 @@
 )
 
 const (
-	minGoodput  = 0.95 // of the capacity, in a burst
-	maxTeamRise = 1.20 // of a team's p99 while another floods
-	teamLoad    = 0.3  // of the capacity
-	floodSeeds  = 4
-	teamQuota   = numAgents * numSlots / 2
+	minGoodput     = 0.95 // share of the slot time in a burst
+	maxTeamP99Rise = 1.20 // factor of a team's p99 while another team floods
+	teamLoad       = 0.3  // share of the capacity
+	floodSeeds     = 4
+	teamQuota      = numAgents * numSlots / 2
 )
 
-// TestGoodputInBurst lets five times the load arrive for 10 s, with deadlines
-// that most of it can not meet.
+// TestGoodputInBurst checks that slots are not spent on jobs that miss their
+// deadline, when five times the load arrives for 10 s and most of it can't be in time.
 func TestGoodputInBurst(t *testing.T) {
 	deadlines := map[*Workload]time.Duration{&Hillside: 2 * time.Second, &RetourPlateau: 10 * time.Second}
 	for w, deadline := range deadlines {
 		t.Run(w.Name, func(t *testing.T) {
 			t.Parallel()
-			res := Run(Scenario{Workload: w, Load: leftLoad, Fault: Burst, Strategy: Credits, Seed: 1, Deadline: deadline})
+			res := Run(Scenario{Workload: w, Load: remainingLoad, Fault: Burst, Strategy: Credits, Seed: 1, Deadline: deadline})
 			t.Logf("goodput %.3f; %s", res.Goodput, res.Row())
 			if res.Goodput < minGoodput {
-				t.Errorf("goodput %.3f of the capacity; want at least %.2f", res.Goodput, minGoodput)
+				t.Errorf("goodput %.3f of the slot time; want at least %.2f", res.Goodput, minGoodput)
 			}
 		})
 	}
 }
 
 // TestTeamBesideAFlood compares a team's response times with those of the same
-// jobs while another team submits three times the capacity. Each may use half
+// jobs while another team submits three times the capacity. Each team may use half
 // of the slots.
 func TestTeamBesideAFlood(t *testing.T) {
 	for _, w := range []*Workload{&Hillside, &RetourPlateau} {
@@ -48,8 +48,8 @@
 			}
 			rise := beside.Seconds() / alone.Seconds()
 			t.Logf("rise %.3f", rise)
-			if rise > maxTeamRise {
-				t.Errorf("the team's p99 rises to %.3f; want at most %.2f", rise, maxTeamRise)
+			if rise > maxTeamP99Rise {
+				t.Errorf("the team's p99 rises by a factor of %.3f; want at most %.2f", rise, maxTeamP99Rise)
 			}
 		})
 	}
--- a/bench/pattern.go
+++ b/bench/pattern.go
@@ -11,27 +11,27 @@
 	"masticbay/work"
 )
 
-// Pattern is a load on the workers of a service, and what happens to them
-// meanwhile. It is replayed against the decisions of one home and its agents.
+// Pattern is a load on the workers of a service, with events that change it. It
+// is replayed against the decisions of one home and its agents.
 type Pattern struct {
-	Name    string          `toml:"name"`
-	Answers string          `toml:"answers"` // what the home does about it
-	Seconds float64         `toml:"seconds"` // how long jobs are submitted
-	Seed    uint64          `toml:"seed"`
-	Workers []PatternWorker `toml:"workers"`
-	Queues  []PatternQueue  `toml:"queues"`
-	Events  []PatternEvent  `toml:"events"`
+	Name        string          `toml:"name"`
+	Expectation string          `toml:"answers"` // how the home is expected to react
+	Seconds     float64         `toml:"seconds"` // how long jobs arrive
+	Seed        uint64          `toml:"seed"`
+	Workers     []PatternWorker `toml:"workers"`
+	Queues      []PatternQueue  `toml:"queues"`
+	Events      []PatternEvent  `toml:"events"`
 }
 
-// PatternWorker is a number of equal workers.
+// PatternWorker describes a number of equal workers.
 type PatternWorker struct {
 	Count    int      `toml:"count"`
 	CPU      int      `toml:"cpu"`      // thousandths of cores
-	Slowness float64  `toml:"slowness"` // run time over that on a worker of speed 1
+	Slowness float64  `toml:"slowness"` // run time relative to that on a worker of speed 1
 	Labels   []string `toml:"labels"`
 }
 
-// PatternQueue is a kind of job.
+// PatternQueue describes a queue and the jobs that arrive in it.
 type PatternQueue struct {
 	Name        string  `toml:"name"`
 	Priority    int     `toml:"priority"`
@@ -39,15 +39,15 @@
 	Stretch     float64 `toml:"stretch"`
 	TargetMs    float64 `toml:"targetMs"`
 	PerSecond   float64 `toml:"perSecond"`
-	Tasks       float64 `toml:"tasks"` // mean
-	CPU         float64 `toml:"cpu"`   // of a task, mean; thousandths of cores
-	WorkMs      float64 `toml:"workMs"`
-	Worth       float64 `toml:"worth"`
+	Tasks       float64 `toml:"tasks"`  // mean number in a job
+	CPU         float64 `toml:"cpu"`    // mean of a task, in thousandths of cores
+	WorkMs      float64 `toml:"workMs"` // mean run time of a task at slowness 1
+	Worth       float64 `toml:"worth"`  // of an answer in time
 	DeadlineMs  float64 `toml:"deadlineMs"`
 }
 
-// The spread of a pattern's jobs, as the logarithm's standard deviation. They are
-// those of the users' sites.
+// The spreads of a pattern's jobs: standard deviations of the logarithms, as on the
+// users' sites.
 const (
 	workSpread     = 0.4
 	tasksSpread    = 0.4
@@ -58,22 +58,22 @@
 
 // The kinds of a PatternEvent.
 const (
-	EventBurst = "burst" // times as many jobs, of a queue or of all
-	EventSlow  = "slow"  // workers take times as long
-	EventFail  = "fail"  // workers fail all that they start
+	EventBurst = "burst" // more jobs arrive by a factor, in one queue or in all
+	EventSlow  = "slow"  // runs on workers take longer by a factor
+	EventFail  = "fail"  // workers fail every run that they start
 	EventStall = "stall" // runs on workers make no progress
-	EventCrash = "crash" // workers end and are back after the time
-	EventDrain = "drain" // workers take nothing new
+	EventCrash = "crash" // workers crash, and restart when the event ends
+	EventDrain = "drain" // workers are draining
 )
 
-// PatternEvent is what happens for a while.
+// PatternEvent is an event that lasts for a time.
 type PatternEvent struct {
-	Kind    string  `toml:"kind"`
-	At      float64 `toml:"at"`      // seconds
-	For     float64 `toml:"for"`     // seconds
-	Times   float64 `toml:"times"`   // of EventBurst and EventSlow
-	Queue   string  `toml:"queue"`   // of EventBurst; all if empty
-	Workers []int   `toml:"workers"` // that it happens to, by number from 0
+	Kind     string  `toml:"kind"`
+	At       float64 `toml:"at"`      // seconds
+	Duration float64 `toml:"for"`     // seconds
+	Factor   float64 `toml:"times"`   // of EventBurst and EventSlow
+	Queue    string  `toml:"queue"`   // of EventBurst; all if empty
+	Workers  []int   `toml:"workers"` // indexes of the workers that it affects, from 0
 }
 
 var eventKinds = []string{EventBurst, EventSlow, EventFail, EventStall, EventCrash, EventDrain}
@@ -81,7 +81,7 @@
 //go:embed patterns/*.toml
 var patternFiles embed.FS
 
-// Patterns returns the names of the embedded patterns.
+// Patterns returns the file names of the embedded patterns.
 func Patterns() (names []string, err error) {
 	files, err := patternFiles.ReadDir("patterns")
 	for _, f := range files {
@@ -136,6 +136,7 @@
 	return nil
 }
 
+// workers returns the number of workers.
 func (p *Pattern) workers() (n int) {
 	for _, w := range p.Workers {
 		n += w.Count
--- a/bench/replay.go
+++ b/bench/replay.go
@@ -8,62 +8,62 @@
 
 	"masticbay/platform"
 	"masticbay/schedule"
-	daemon "masticbay/site"
+	"masticbay/site"
 	"masticbay/work"
 	"masticbay/worker"
 )
 
-// replay is the run of a Pattern: one home and one agent a worker with the
-// limits of the product, messages that take modelHop, and modelled workers. It
-// is a function of the pattern: time is virtual and chance comes from its seed.
+// replay is the run of a Pattern: one home, one agent per worker with the limits
+// of the product, messages that take messageDelay, and simulated workers. The result
+// depends on the pattern alone: time is virtual, and random draws come from its seed.
 type replay struct {
-	pattern     *Pattern
-	clock       clock
-	rng         *rand.Rand
-	core        *schedule.Core
-	guardConfig worker.Config
-	workers     []*modelWorker
-	byAgent     map[string]*modelWorker
-	jobs        map[string]*modelJob
-	order       []*modelJob
-	burst       map[string]float64 // by queue: how many times as many jobs
-	started     int
-	wasted      time.Duration
-	blind       bool // the home does not hear of slow progress
+	pattern           *Pattern
+	clock             clock
+	rng               *rand.Rand
+	core              *schedule.Core
+	guardConfig       worker.Config
+	workers           []*modelWorker
+	byAgent           map[string]*modelWorker
+	jobs              map[string]*modelJob
+	submitted         []*modelJob
+	burstFactors      map[string]float64 // factors of the arrival rate by queue; that of "" applies to all
+	startCount        int                // runs that workers started
+	wastedWork        time.Duration      // of runs that were stopped or lost, at slowness 1
+	withholdsSlowness bool               // reports to the home leave out slow progress
 }
 
-// modelJob is a job of a replay.
+// modelJob is a job of a replay, and the answer to it.
 type modelJob struct {
-	queue     *PatternQueue
-	submitted time.Duration
-	objective time.Duration
-	work      []time.Duration // by task, at slowness 1
-	outcome   work.State      // empty until it is answered
-	answered  time.Duration
+	queue       *PatternQueue
+	submittedAt time.Duration
+	objective   time.Duration
+	taskTimes   []time.Duration // run times at slowness 1, by task
+	outcome     work.State      // empty until the job is answered
+	answeredAt  time.Duration
 }
 
-// start of virtual time.
-var modelEpoch = time.Unix(1_000_000, 0)
+// replayStartTime is the start of virtual time.
+var replayStartTime = time.Unix(1_000_000, 0)
 
-const modelHome = "home"
+const homeName = "home"
 
-// afterLoad is how long a replay goes on after the last job, as long as any
-// caller waits.
-const afterLoad = 8 * time.Second
+// tailDuration is how long a replay continues after the last arrival: the longest
+// time that any caller waits.
+const tailDuration = 8 * time.Second
 
-// Replay runs a pattern.
+// Replay replays a pattern and returns its figures.
 func Replay(p *Pattern) *ReplayResult { return newReplay(p).run() }
 
 func newReplay(p *Pattern) *replay {
 	node := &platform.Node{LongestLease: time.Second, FarFactor: 1.5}
 	return &replay{
-		pattern: p, rng: rand.New(rand.NewPCG(p.Seed, 0)), core: schedule.NewCore(daemon.HomeConfig(node)), guardConfig: daemon.GuardConfig(node),
-		byAgent: make(map[string]*modelWorker), jobs: make(map[string]*modelJob), burst: make(map[string]float64),
-		clock: clock{ending: seconds(p.Seconds) + afterLoad},
+		pattern: p, rng: rand.New(rand.NewPCG(p.Seed, 0)), core: schedule.NewCore(site.HomeConfig(node)), guardConfig: site.GuardConfig(node),
+		byAgent: make(map[string]*modelWorker), jobs: make(map[string]*modelJob), burstFactors: make(map[string]float64),
+		clock: clock{endAt: seconds(p.Seconds) + tailDuration},
 	}
 }
 
-func (r *replay) now() time.Time { return modelEpoch.Add(r.clock.now) }
+func (r *replay) now() time.Time { return replayStartTime.Add(r.clock.elapsed) }
 
 func (r *replay) run() *ReplayResult {
 	for _, w := range r.pattern.Workers {
@@ -74,145 +74,151 @@
 		}
 	}
 	for i := range r.pattern.Queues {
-		r.arrive(&r.pattern.Queues[i])
+		r.scheduleArrival(&r.pattern.Queues[i])
 	}
 	for i := range r.pattern.Events {
-		r.schedule(&r.pattern.Events[i])
+		r.scheduleEvent(&r.pattern.Events[i])
 	}
 	r.tick()
 	r.clock.run(func() {})
 	return r.result()
 }
 
-// arrive plans the next job of a queue.
-func (r *replay) arrive(q *PatternQueue) {
-	rate := q.PerSecond * max(r.burst[""], 1) * max(r.burst[q.Name], 1)
+// scheduleArrival schedules the next job of a queue.
+func (r *replay) scheduleArrival(q *PatternQueue) {
+	rate := q.PerSecond * max(r.burstFactors[""], 1) * max(r.burstFactors[q.Name], 1)
 	r.clock.after(seconds(r.rng.ExpFloat64()/rate), func() {
-		if r.clock.now > seconds(r.pattern.Seconds) {
+		if r.clock.elapsed > seconds(r.pattern.Seconds) {
 			return
 		}
 		r.submit(q)
-		r.arrive(q)
+		r.scheduleArrival(q)
 	})
 }
 
-// vary returns a value around a mean with a log-normal spread.
-func (r *replay) vary(mean, spread float64) float64 {
+// drawLogNormal draws a value from the log-normal distribution with a mean, and with
+// spread as the standard deviation of the logarithm.
+func (r *replay) drawLogNormal(mean, spread float64) float64 {
 	return mean * math.Exp(spread*r.rng.NormFloat64()-spread*spread/2)
 }
 
+// submit draws a job of a queue and submits it to the home. The order of the random
+// draws decides what a seed means.
 func (r *replay) submit(q *PatternQueue) {
-	length := min(r.vary(q.WorkMs, workSpread), 4*q.WorkMs)
-	n := int(math.Round(min(max(r.vary(q.Tasks, tasksSpread), 1), 4*q.Tasks)))
-	m := &modelJob{queue: q, submitted: r.clock.now}
+	meanTime := min(r.drawLogNormal(q.WorkMs, workSpread), 4*q.WorkMs)
+	n := int(math.Round(min(max(r.drawLogNormal(q.Tasks, tasksSpread), 1), 4*q.Tasks)))
+	m := &modelJob{queue: q, submittedAt: r.clock.elapsed}
 	longest := time.Duration(0)
 	for range n {
-		d := millis(r.vary(length, taskSpread))
-		m.work = append(m.work, d)
-		longest = max(longest, d)
+		taskTime := millis(r.drawLogNormal(meanTime, taskSpread))
+		m.taskTimes = append(m.taskTimes, taskTime)
+		longest = max(longest, taskTime)
 	}
-	wq := q.queue()
-	m.objective = wq.Objective(longest)
-	id := strconv.Itoa(1_000_000 + len(r.order))
-	r.jobs[id], r.order = m, append(r.order, m)
+	jobQueue := q.queue()
+	m.objective = jobQueue.Objective(longest)
+	id := strconv.Itoa(1_000_000 + len(r.submitted))
+	r.jobs[id], r.submitted = m, append(r.submitted, m)
 	j := work.Job{
-		ID: id, Queue: wq, Left: millis(q.DeadlineMs),
-		Steps: []work.Step{{Count: n, Room: work.Room{CPU: int(r.vary(q.CPU, cpuSpread))}, Estimate: millis(r.vary(length, estimateSpread))}},
+		ID: id, Queue: jobQueue, Left: millis(q.DeadlineMs),
+		Steps: []work.Step{{Count: n, Room: work.Room{CPU: int(r.drawLogNormal(q.CPU, cpuSpread))}, Estimate: millis(r.drawLogNormal(meanTime, estimateSpread))}},
 	}
-	r.clock.after(modelHop, func() {
+	r.clock.after(messageDelay, func() {
 		r.core.Submit(r.now(), j, 0)
-		r.take()
+		r.performDecisions()
 	})
 }
 
-// taskWork returns how long a task takes at slowness 1.
-func (r *replay) taskWork(t work.TaskRef) time.Duration { return r.jobs[t.Job].work[t.Index] }
+// taskTime returns the run time of a task at slowness 1.
+func (r *replay) taskTime(t work.TaskRef) time.Duration { return r.jobs[t.Job].taskTimes[t.Index] }
 
-// take hands out what the home has decided.
-func (r *replay) take() {
-	d := r.core.Take()
-	for _, e := range d.Outcomes {
+// performDecisions records the outcomes of jobs that the home has decided, and sends
+// its orders to the agents.
+func (r *replay) performDecisions() {
+	decisions := r.core.Take()
+	for _, e := range decisions.Outcomes {
 		if m := r.jobs[e.Job]; m.outcome == "" {
-			m.outcome, m.answered = e.Outcome.State, r.clock.now+modelHop
+			m.outcome, m.answeredAt = e.Outcome.State, r.clock.elapsed+messageDelay
 		}
 	}
 	for _, w := range r.workers {
-		starts, stops := d.Starts[w.agent], d.Stops[w.agent]
+		starts, stops := decisions.Starts[w.agent], decisions.Stops[w.agent]
 		if len(starts)+len(stops) == 0 {
 			continue
 		}
 		echo := r.now()
-		r.clock.after(modelHop, func() {
-			w.guard.Order(r.now(), modelHome, echo, starts, stops)
-			w.perform()
-			r.report(w)
+		r.clock.after(messageDelay, func() {
+			w.guard.Order(r.now(), homeName, echo, starts, stops)
+			w.performOrders()
+			r.sendReport(w)
 		})
 	}
 }
 
-// report tells the home what an agent knows.
-func (r *replay) report(w *modelWorker) {
-	w.guard.Hear(modelHome, r.now())
-	life, acked := r.core.Taken(w.agent)
-	if life == "" {
+// sendReport sends the report of an agent to the home.
+func (r *replay) sendReport(w *modelWorker) {
+	w.guard.Hear(homeName, r.now())
+	incarnation, acked := r.core.Taken(w.agent)
+	if incarnation == "" {
 		acked = 0
 	}
-	rep := schedule.ReportOf(w.guard, modelHome, acked)
-	rep.Life = "1"
-	if r.blind {
-		rep.Slow = nil
+	report := schedule.ReportOf(w.guard, homeName, acked)
+	report.Life = "1"
+	if r.withholdsSlowness {
+		report.Slow = nil
 	}
-	r.clock.after(modelHop, func() {
-		r.core.Report(r.now(), w.agent, &rep)
-		r.take()
+	r.clock.after(messageDelay, func() {
+		r.core.Report(r.now(), w.agent, &report)
+		r.performDecisions()
 	})
 }
 
+// tick runs the timers of the home at an interval.
 func (r *replay) tick() {
 	r.core.Tick(r.now())
-	r.take()
-	r.clock.after(modelTick, r.tick)
+	r.performDecisions()
+	r.clock.after(homeTickInterval, r.tick)
 }
 
-// schedule plans the begin and the end of an event.
-func (r *replay) schedule(e *PatternEvent) {
-	r.clock.after(seconds(e.At), func() { r.apply(e, true) })
-	r.clock.after(seconds(e.At+e.For), func() { r.apply(e, false) })
+// scheduleEvent schedules the start and the end of an event.
+func (r *replay) scheduleEvent(e *PatternEvent) {
+	r.clock.after(seconds(e.At), func() { r.applyEvent(e, true) })
+	r.clock.after(seconds(e.At+e.Duration), func() { r.applyEvent(e, false) })
 }
 
-func (r *replay) apply(e *PatternEvent, on bool) {
+// applyEvent starts or ends an event.
+func (r *replay) applyEvent(e *PatternEvent, active bool) {
 	if e.Kind == EventBurst {
-		r.burst[e.Queue] = 1
-		if on {
-			r.burst[e.Queue] = e.Times
+		r.burstFactors[e.Queue] = 1
+		if active {
+			r.burstFactors[e.Queue] = e.Factor
 		}
 		return
 	}
 	for _, i := range e.Workers {
-		r.workers[i].apply(e, on)
+		r.workers[i].applyEvent(e, active)
 	}
 }
 
-func (w *modelWorker) apply(e *PatternEvent, on bool) {
+func (w *modelWorker) applyEvent(e *PatternEvent, active bool) {
 	switch e.Kind {
 	case EventSlow:
-		w.change(func() {
-			w.slow = 1
-			if on {
-				w.slow = e.Times
+		w.changeSpeed(func() {
+			w.slowFactor = 1
+			if active {
+				w.slowFactor = e.Factor
 			}
 		})
 	case EventStall:
-		w.change(func() { w.stalled = on })
+		w.changeSpeed(func() { w.stalled = active })
 	case EventFail:
-		w.fails = on
+		w.failsRuns = active
 	case EventCrash:
-		if on {
+		if active {
 			w.crash()
 		} else {
 			w.restart()
 		}
 	case EventDrain:
-		w.beat(on)
+		w.sendHeartbeat(active)
 	}
 }
--- a/bench/replay_result.go
+++ b/bench/replay_result.go
@@ -11,110 +11,113 @@
 	"masticbay/work"
 )
 
-// ReplayResult tells how a replay went.
+// ReplayResult holds the figures of a replay. Its shares are parts of the worth of
+// all jobs that was earned by answers in time.
 type ReplayResult struct {
-	Pattern string
-	Queues  []QueueResult
-	Windows []float64 // by resultWindow: the part of the worth that was earned
-	Whole   float64   // part of the worth that was earned
-	Starts  int
-	Wasted  time.Duration // work at slowness 1 that was stopped or lost
+	Pattern      string
+	Queues       []QueueResult
+	WindowShares []float64 // of the jobs submitted in each windowDuration
+	OverallShare float64   // of all jobs
+	Starts       int
+	WastedWork   time.Duration // of runs that were stopped or lost, at slowness 1
 }
 
-// QueueResult counts the jobs of a queue.
+// QueueResult holds the figures of a queue.
 type QueueResult struct {
-	Name                            string
-	Asked, InTime, Late, Never, Rej int     // Never: answered too late, failed or not at all
-	Part                            float64 // of the worth that was earned
+	Name                                      string
+	Submitted, InTime, Late, Missed, Rejected int     // Missed: failed, without an answer, or answered too late to earn anything
+	WorthShare                                float64 // share of the worth of the queue's jobs that was earned
 }
 
-// As the users count: the worst two windows of 2 s, an answer that is late by up
-// to three times the objective is worth a fifth, and a later one nothing.
+// The rules by which the users count: the two worst windows of 2 s matter most; an
+// answer after the objective, but within three times the objective, earns a fifth of
+// the worth, and a later one nothing.
 const (
-	resultWindow = 2 * time.Second
-	worstWindows = 2
-	latePart     = 0.2
-	lateTimes    = 3
+	windowDuration   = 2 * time.Second
+	worstWindowCount = 2
+	lateWorth        = 0.2
+	lateLimitFactor  = 3
 )
 
-// Worth weighs a result as Retour-Plateau does: the whole day, the worst
-// windows, the worst queue.
+// Worth weighs the figures as Retour-Plateau does: all jobs, the worst windows and
+// the worst queue.
 func (r *ReplayResult) Worth() float64 {
-	worst := r.Queues[0].Part
+	worst := r.Queues[0].WorthShare
 	for _, q := range r.Queues {
-		worst = min(worst, q.Part)
+		worst = min(worst, q.WorthShare)
 	}
-	return 0.35*r.Whole + 0.5*r.WorstWindows() + 0.15*worst
+	return 0.35*r.OverallShare + 0.5*r.WorstWindows() + 0.15*worst
 }
 
-// WorstWindows returns the mean of the worst windows.
+// WorstWindows returns the mean share of the worst windows.
 func (r *ReplayResult) WorstWindows() float64 {
-	sorted := slices.Sorted(slices.Values(r.Windows))
-	sum, n := 0.0, min(worstWindows, len(sorted))
+	sorted := slices.Sorted(slices.Values(r.WindowShares))
+	sum, n := 0.0, min(worstWindowCount, len(sorted))
 	for _, v := range sorted[:n] {
 		sum += v
 	}
 	return sum / float64(n)
 }
 
+// result computes the figures of a replay that has ended.
 func (r *replay) result() *ReplayResult {
-	res := &ReplayResult{Pattern: r.pattern.Name, Starts: r.started, Wasted: r.wasted}
-	var whole share
-	windows := make([]share, int(seconds(r.pattern.Seconds)/resultWindow))
+	result := &ReplayResult{Pattern: r.pattern.Name, Starts: r.startCount, WastedWork: r.wastedWork}
+	var overall worthShare
+	windows := make([]worthShare, int(seconds(r.pattern.Seconds)/windowDuration))
 	for i := range r.pattern.Queues {
 		q := &r.pattern.Queues[i]
-		qr := QueueResult{Name: q.Name}
-		var part share
-		for _, m := range r.order {
-			if m.queue != q {
+		queueResult := QueueResult{Name: q.Name}
+		var queueShare worthShare
+		for _, job := range r.submitted {
+			if job.queue != q {
 				continue
 			}
-			got := qr.count(m)
-			part.add(got, q.Worth)
-			whole.add(got, q.Worth)
-			if i := int(m.submitted / resultWindow); i < len(windows) {
-				windows[i].add(got, q.Worth)
+			earned := queueResult.countJob(job)
+			queueShare.add(earned, q.Worth)
+			overall.add(earned, q.Worth)
+			if i := int(job.submittedAt / windowDuration); i < len(windows) {
+				windows[i].add(earned, q.Worth)
 			}
 		}
-		qr.Part = part.value()
-		res.Queues = append(res.Queues, qr)
+		queueResult.WorthShare = queueShare.value()
+		result.Queues = append(result.Queues, queueResult)
 	}
-	res.Whole = whole.value()
+	result.OverallShare = overall.value()
 	for _, w := range windows {
-		res.Windows = append(res.Windows, w.value())
+		result.WindowShares = append(result.WindowShares, w.value())
 	}
-	return res
+	return result
 }
 
-// share is a part of what could be earned.
-type share struct{ earned, owed float64 }
+// worthShare adds up the worth that was earned and that could be earned.
+type worthShare struct{ earned, possible float64 }
 
-func (s *share) add(part, worth float64) {
-	s.earned += part * worth
-	s.owed += worth
+func (s *worthShare) add(share, worth float64) {
+	s.earned += share * worth
+	s.possible += worth
 }
 
-func (s *share) value() float64 {
-	if s.owed == 0 {
+func (s *worthShare) value() float64 {
+	if s.possible == 0 {
 		return 1
 	}
-	return s.earned / s.owed
+	return s.earned / s.possible
 }
 
-// count counts a job and returns the part of its worth that was earned.
-func (q *QueueResult) count(m *modelJob) float64 {
-	q.Asked++
-	took := m.answered - m.submitted
+// countJob counts a job and returns the share of its worth that was earned.
+func (q *QueueResult) countJob(job *modelJob) float64 {
+	q.Submitted++
+	responseTime := job.answeredAt - job.submittedAt
 	switch {
-	case m.outcome == work.Rejected:
-		q.Rej++
+	case job.outcome == work.Rejected:
+		q.Rejected++
 		return 0
-	case m.outcome != work.Completed || took > lateTimes*m.objective:
-		q.Never++
+	case job.outcome != work.Completed || responseTime > lateLimitFactor*job.objective:
+		q.Missed++
 		return 0
-	case took > m.objective:
+	case responseTime > job.objective:
 		q.Late++
-		return latePart
+		return lateWorth
 	}
 	q.InTime++
 	return 1
@@ -122,22 +125,22 @@
 
 // Write writes a table of the queues and a plot of the windows.
 func (r *ReplayResult) Write(w io.Writer) error {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintf(t, "%s\tasked\tin time\tlate\tnever\trejected\tworth\t\n", r.Pattern)
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprintf(table, "%s\tasked\tin time\tlate\tnever\trejected\tworth\t\n", r.Pattern)
 	for _, q := range r.Queues {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%.3f\t\n", q.Name, q.Asked, q.InTime, q.Late, q.Never, q.Rej, q.Part)
+		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%.3f\t\n", q.Name, q.Submitted, q.InTime, q.Late, q.Missed, q.Rejected, q.WorthShare)
 	}
-	if err := t.Flush(); err != nil {
+	if err := table.Flush(); err != nil {
 		return err
 	}
 	const width = 50
-	for i, v := range r.Windows {
+	for i, v := range r.WindowShares {
 		bar := strings.Repeat("#", int(v*width+0.5))
-		if _, err := fmt.Fprintf(w, "%4.0f s %-*s %.3f\n", (time.Duration(i) * resultWindow).Seconds(), width, bar, v); err != nil {
+		if _, err := fmt.Fprintf(w, "%4.0f s %-*s %.3f\n", (time.Duration(i) * windowDuration).Seconds(), width, bar, v); err != nil {
 			return err
 		}
 	}
 	_, err := fmt.Fprintf(w, "whole %.3f, worst windows %.3f, worth %.3f; %d starts, %.1f s of work wasted\n",
-		r.Whole, r.WorstWindows(), r.Worth(), r.Starts, r.Wasted.Seconds())
+		r.OverallShare, r.WorstWindows(), r.Worth(), r.Starts, r.WastedWork.Seconds())
 	return err
 }
--- a/bench/replay_test.go
+++ b/bench/replay_test.go
@@ -6,7 +6,9 @@
 	"testing"
 )
 
-func replayed(t *testing.T, file string, change func(*replay)) *ReplayResult {
+// replayPattern replays an embedded pattern after change has been applied to the
+// replay.
+func replayPattern(t *testing.T, file string, change func(*replay)) *ReplayResult {
 	t.Helper()
 	p, err := EmbeddedPattern(file)
 	if err != nil {
@@ -25,8 +27,8 @@
 	return res
 }
 
-// TestPatterns replays the load of each pattern. The bounds are the targets of
-// Retour-Plateau for calm days and for days of high load.
+// TestPatterns checks the worth that each pattern earns. The limits are the targets
+// of Retour-Plateau for calm days and for days of high load.
 func TestPatterns(t *testing.T) {
 	files, err := Patterns()
 	if err != nil {
@@ -34,50 +36,51 @@
 	}
 	for _, file := range files {
 		t.Run(file, func(t *testing.T) {
-			least := 0.70
+			minWorth := 0.70
 			if file == "calm.toml" {
-				least = 0.95
+				minWorth = 0.95
 			}
-			if res := replayed(t, file, nil); res.Worth() < least {
-				t.Errorf("worth %.3f, want %.2f", res.Worth(), least)
+			if res := replayPattern(t, file, nil); res.Worth() < minWorth {
+				t.Errorf("worth %.3f; want at least %.2f", res.Worth(), minWorth)
 			}
 		})
 	}
 }
 
-// TestProgressTellsSlowWorkers: a home that hears of slow progress earns more
-// than one that learns of slow workers by ends. Chance decides a lot at the
-// highest load, so seeds are averaged.
-func TestProgressTellsSlowWorkers(t *testing.T) {
+// TestProgressRevealsSlowWorkers checks that a home earns more if reports tell it of
+// slow progress than if it learns of slow workers only when runs end. It averages
+// over seeds, as random draws decide a lot at the highest load.
+func TestProgressRevealsSlowWorkers(t *testing.T) {
 	const seeds = 4
 	for _, file := range []string{"slow.toml", "worst.toml"} {
-		var seeing, blind float64
+		var informed, uninformed float64
 		for seed := range uint64(seeds) {
-			seeing += replayed(t, file, func(r *replay) { r.reseed(seed) }).Worth() / seeds
-			blind += replayed(t, file, func(r *replay) { r.reseed(seed); r.blind = true }).Worth() / seeds
+			informed += replayPattern(t, file, func(r *replay) { r.reseed(seed) }).Worth() / seeds
+			uninformed += replayPattern(t, file, func(r *replay) { r.reseed(seed); r.withholdsSlowness = true }).Worth() / seeds
 		}
-		t.Logf("%s: worth %.3f, and %.3f without progress", file, seeing, blind)
-		if seeing <= blind {
-			t.Errorf("%s: worth %.3f, and %.3f without progress", file, seeing, blind)
+		t.Logf("%s: worth %.3f with reports of slow progress, %.3f without", file, informed, uninformed)
+		if informed <= uninformed {
+			t.Errorf("%s: worth %.3f with reports of slow progress, %.3f without", file, informed, uninformed)
 		}
 	}
 }
 
-// TestReplayRepeats: two replays of a pattern are the same.
-func TestReplayRepeats(t *testing.T) {
-	a, b := replayed(t, "worst.toml", nil), replayed(t, "worst.toml", nil)
+// TestReplayIsRepeatable checks that two replays of a pattern give the same result.
+func TestReplayIsRepeatable(t *testing.T) {
+	a, b := replayPattern(t, "worst.toml", nil), replayPattern(t, "worst.toml", nil)
 	if a.Worth() != b.Worth() || a.Starts != b.Starts {
-		t.Errorf("worth %g and %g, %d and %d starts", a.Worth(), b.Worth(), a.Starts, b.Starts)
+		t.Errorf("two replays differ: worth %g and %g, %d and %d starts", a.Worth(), b.Worth(), a.Starts, b.Starts)
 	}
 }
 
-func TestWrongPatternsAreRefused(t *testing.T) {
+func TestInvalidPatternsAreRefused(t *testing.T) {
 	for _, raw := range []string{"", "seconds = 3", "seconds = \"x\"",
 		"seconds = 3\n[[workers]]\ncount = 1\ncpu = 10\nslowness = 1\n[[queues]]\nname = \"q\"\nperSecond = 1\ntasks = 1\ncpu = 1\nworkMs = 1\n[[events]]\nkind = \"flood\""} {
 		if _, err := DecodePattern([]byte(raw)); err == nil {
-			t.Errorf("taken: %q", raw)
+			t.Errorf("no error for the pattern %q", raw)
 		}
 	}
 }
 
+// reseed replaces the seed of the pattern.
 func (r *replay) reseed(seed uint64) { r.rng = rand.New(rand.NewPCG(seed, 1)) }
--- a/bench/scenario.go
+++ b/bench/scenario.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Strategy is how tasks find slots.
+// Strategy is the way in which tasks are assigned to slots.
 type Strategy string
 
-// Credits is the policy of masticbay; the others are baselines.
+// Credits is masticbay's own strategy; the others are baselines.
 const (
 	Credits    Strategy = "credits"
 	Random     Strategy = "random"
@@ -16,20 +16,20 @@
 	LeastOfTwo Strategy = "leastOfTwo"
 )
 
-// Fault is what goes wrong in a run, from faultAt on.
+// Fault is a fault that a run has from faultAt on.
 type Fault string
 
 // The faults.
 const (
 	None       Fault = "none"
 	Straggler  Fault = "straggler"  // one target runs at a third of its speed
-	Burst      Fault = "burst"      // five times the rate for 10 s
-	DeadTarget Fault = "deadTarget" // an agent and its target end
-	DeadEntry  Fault = "deadEntry"  // the entry that is the home of the service ends
-	FailAll    Fault = "failAll"    // one target fails every task at once
-	WrongSizes Fault = "wrongSizes" // declared sizes off by up to ten times
-	CancelWave Fault = "cancelWave" // half of all jobs under way are cancelled
-	NeverRun   Fault = "neverRun"   // a fifth of the jobs name no known service
+	Burst      Fault = "burst"      // five times the arrival rate for 10 s
+	DeadTarget Fault = "deadTarget" // an agent and its target die
+	DeadEntry  Fault = "deadEntry"  // the home of the service, the entry that dispatches its tasks, dies
+	FailAll    Fault = "failAll"    // one target fails every task immediately
+	WrongSizes Fault = "wrongSizes" // declared sizes are wrong by a factor of up to ten
+	CancelWave Fault = "cancelWave" // half of the running jobs are cancelled
+	NeverRun   Fault = "neverRun"   // a fifth of the jobs name an unknown service
 	HalfLimit  Fault = "halfLimit"  // every target's limit is halved for 20 s
 )
 
@@ -37,27 +37,27 @@
 var Faults = []Fault{None, Straggler, Burst, DeadTarget, DeadEntry, FailAll, WrongSizes, CancelWave, NeverRun, HalfLimit}
 
 const (
-	warmUp      = 10 * time.Second // not measured
-	faultAt     = 30 * time.Second
-	burstLen    = 10 * time.Second
-	burstFactor = 5
-	halfLen     = 20 * time.Second
-	failTime    = time.Millisecond // a task of a target that fails everything
-	runLength   = 90 * time.Second
-	floodFactor = 3 // of the capacity
+	warmUp            = 10 * time.Second // jobs that arrive earlier are left out of the figures
+	faultAt           = 30 * time.Second
+	burstDuration     = 10 * time.Second
+	burstFactor       = 5
+	halfLimitDuration = 20 * time.Second
+	failedRunTime     = time.Millisecond // run time at a target that fails every task
+	runLength         = 90 * time.Second
+	floodFactor       = 3 // load of the flooding team, relative to the capacity
 )
 
-// Scenario is one run.
+// Scenario describes a run.
 type Scenario struct {
-	Workload *Workload
-	Load     float64 // share of the capacity
-	Fault    Fault
-	Second   Fault // another fault at the same time
-	Strategy Strategy
-	Seed     uint64
-	Deadline time.Duration // of each job; a minute if zero
-	Flood    bool          // another team submits several times the capacity
-	Quota    int           // slots that each team may use at once; all if zero
+	Workload    *Workload
+	Load        float64 // share of the capacity
+	Fault       Fault
+	SecondFault Fault // a fault at the same time; none if empty
+	Strategy    Strategy
+	Seed        uint64
+	Deadline    time.Duration // of each job; a minute if 0
+	Flood       bool          // another team submits several times the capacity
+	Quota       int           // slots that each team may use at once; all if 0
 }
 
 func (sc *Scenario) length() time.Duration { return runLength }
@@ -69,58 +69,60 @@
 	return time.Minute
 }
 
-// left returns the share of the capacity that the loss of one target leaves.
-func (sc *Scenario) left() float64 {
-	all := 0.0
+// remainingCapacity returns the share of the capacity that is left without
+// faultTarget.
+func (sc *Scenario) remainingCapacity() float64 {
+	total := 0.0
 	speeds := sc.Workload.speeds()
 	for _, s := range speeds {
-		all += s
+		total += s
 	}
-	return 1 - speeds[faultTarget]/all
+	return 1 - speeds[faultTarget]/total
 }
 
-func (sc *Scenario) has(f Fault) bool { return sc.Fault == f || sc.Second == f }
+func (sc *Scenario) has(f Fault) bool { return sc.Fault == f || sc.SecondFault == f }
 
-// Result is the outcome of a run. Response times are those of all jobs that
-// arrived after the warm-up and completed, over the ideal times of the same
+// Result holds the figures of a run. Response times are those of the jobs that
+// arrived after the warm-up and completed, divided by the ideal times of the same
 // jobs.
 type Result struct {
 	Scenario
-	Jobs      int
-	Complete  int
-	Failed    int
-	Refused   int
-	Mean      float64 // mean response over mean ideal
-	P99       float64 // 99th percentile over that of the ideal
-	Messages  float64 // for each task that started
-	Tasks     int     // started
-	NotRun    int
-	Unknown   int
-	Twice     int           // tasks that started twice
-	FastShare float64       // of the failing target, in the 10 s after its first 20 failures
-	Goodput   float64       // share of the slots' time in the burst that went into jobs that completed
-	TeamP99   time.Duration // response of the team that does not flood
-	Actions   Counts        // messages by kind
+	Jobs               int
+	Complete           int
+	Failed             int
+	Refused            int
+	MeanRatio          float64 // mean response time divided by the mean ideal time
+	P99Ratio           float64 // 99th percentile of the response times divided by that of the ideal
+	MessagesPerTask    float64 // per task that started
+	Tasks              int     // started
+	NotRun             int
+	Unknown            int
+	StartedTwice       int           // tasks that started more than once
+	FailingTargetShare float64       // share of the starts at the failing target in the 10 s after its first 20 failures
+	Goodput            float64       // share of the slot time in the burst that was spent on jobs that completed
+	TeamP99            time.Duration // 99th percentile of the response times of the team that does not flood
+	MessageCounts      MessageCounts // messages by kind
 }
 
-// Counts is the number of messages by kind; each request and reply is one.
-type Counts struct {
+// MessageCounts holds the number of messages by kind. A request and its reply are
+// two messages.
+type MessageCounts struct {
 	Runs, Offers, Recalls, Asks, Seals, Claims, Inquiries, Forwards, Peers, Heartbeats int
 }
 
-func (c *Counts) total() int {
+func (c *MessageCounts) total() int {
 	return c.Runs + c.Offers + c.Recalls + c.Asks + c.Seals + c.Claims + c.Inquiries + c.Forwards + c.Peers + c.Heartbeats
 }
 
-// Header names the columns of Result.Row.
+// Header is the head of a Markdown table with the columns of Result.Row.
 const Header = "| workload | load | fault | strategy | mean | p99 | messages a task | complete | failed | notRun | unknown | twice |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |"
 
-// Row formats the result as a line of a table.
+// Row formats the result as a line of a Markdown table.
 func (r *Result) Row() string {
 	fault := string(r.Fault)
-	if r.Second != "" {
-		fault += " + " + string(r.Second)
+	if r.SecondFault != "" {
+		fault += " + " + string(r.SecondFault)
 	}
 	return fmt.Sprintf("| %s | %.0f%% | %s | %s | %.3f | %.3f | %.3f | %d | %d | %d | %d | %d |",
-		r.Workload.Name, 100*r.Load, fault, r.Strategy, r.Mean, r.P99, r.Messages, r.Complete, r.Failed+r.Refused, r.NotRun, r.Unknown, r.Twice)
+		r.Workload.Name, 100*r.Load, fault, r.Strategy, r.MeanRatio, r.P99Ratio, r.MessagesPerTask, r.Complete, r.Failed+r.Refused, r.NotRun, r.Unknown, r.StartedTwice)
 }
--- a/bench/workload.go
+++ b/bench/workload.go
@@ -1,19 +1,26 @@
-// Package bench measures the policy in virtual time: response times over an
-// ideal, and messages for each task.
+// Package bench measures the scheduling policies in virtual time.
 //
-// # Model
+// # Scenarios
 //
-// A Scenario is a workload, a load and faults. Run plays it over the real
-// decision code (dispatch.Core, gate.Gate, credit.Lender) with a fake network
-// that only delays, on an event queue in virtual time; so a seed gives the
-// same figures on every run and machine. The ideal is one omniscient queue
-// over the same slots without a network, which orders jobs as package queue
-// does and takes the fastest free slot. Baseline strategies that push tasks to
-// agents at once, to wait there, are played over the same arrivals.
+// A Scenario is a workload, a load and faults. Run simulates it with the real
+// decision code (dispatch.Core, gate.Gate, credit.Lender), an event queue in
+// virtual time and a simulated network that only delays messages, so a seed gives
+// the same figures on every run and machine. It measures response times, relative
+// to an ideal, and messages per task. The ideal is one central queue over the same
+// slots without a network, which orders jobs as package queue does and takes the
+// fastest free slot. Baseline strategies, which push tasks to agents at once to
+// wait there, run with the same arrivals.
+//
+// # Load patterns
+//
+// A Pattern is a load on the workers of a service, and events such as bursts and
+// crashes. Replay runs it with the decision code of a home (the coordinator that
+// places the tasks of a site; schedule.Core) and of its agents (worker.Guard), and
+// measures how much of the jobs' worth was earned by answers in time.
 //
 // # Usage
 //
-//	res := bench.Run(bench.Scenario{Workload: bench.Hillside, Load: 0.8, Strategy: bench.Credits, Seed: 1})
+//	res := bench.Run(bench.Scenario{Workload: &bench.Hillside, Load: 0.8, Strategy: bench.Credits, Seed: 1})
 package bench
 
 import (
@@ -25,19 +32,19 @@
 	"masticbay/job"
 )
 
-// Workload is how jobs arrive and how long their tasks run.
+// Workload describes the jobs, the network and the settings of a run.
 type Workload struct {
-	Name      string
-	Latency   time.Duration // one way between processes
-	Slowest   float64       // speed of the slowest target; the fastest has 1
-	Threshold int           // waiting tasks at which a credit moves, or is asked for
-	AskGain   float64       // as in dispatch.Config
-	Heartbeat time.Duration
-	Peering   time.Duration
-	Kinds     []Kind
+	Name              string
+	Latency           time.Duration // one way between processes
+	Slowest           float64       // speed of the slowest target; the fastest has 1
+	Threshold         int           // waiting tasks from which an entry asks for credits, and credits move to it
+	AskGain           float64       // as in dispatch.Config
+	HeartbeatInterval time.Duration
+	PeerInterval      time.Duration
+	Kinds             []Kind
 }
 
-// Kind is one kind of job in a workload.
+// Kind describes one kind of job in a workload.
 type Kind struct {
 	Share      float64 // of the jobs
 	MinTasks   int
@@ -48,10 +55,10 @@
 }
 
 // Hillside is the workload of single gate checks, renewals and reprices, with
-// the response preset.
+// the preset "response".
 var Hillside = Workload{
 	Name: "hillside", Latency: 1500 * time.Microsecond, Slowest: 0.5, Threshold: 2,
-	Heartbeat: 5 * time.Second, Peering: 2 * time.Second,
+	HeartbeatInterval: 5 * time.Second, PeerInterval: 2 * time.Second,
 	Kinds: []Kind{
 		{Share: 0.85, MinTasks: 1, MaxTasks: 1, Median: 150 * time.Millisecond, Sigma: 0.6, Idempotent: true},
 		{Share: 0.12, MinTasks: 1, MaxTasks: 2, Median: 400 * time.Millisecond, Sigma: 0.6},
@@ -60,21 +67,21 @@
 }
 
 // RetourPlateau is the workload of jobs of hundreds of tasks on slow and mixed
-// targets, with the messages preset.
+// targets, with the preset "messages".
 var RetourPlateau = Workload{
 	Name: "retour-plateau", Latency: 500 * time.Microsecond, Slowest: 0.35, Threshold: 6,
-	Heartbeat: 10 * time.Second, Peering: 6 * time.Second,
+	HeartbeatInterval: 10 * time.Second, PeerInterval: 6 * time.Second,
 	Kinds: []Kind{
 		{Share: 0.7, MinTasks: 50, MaxTasks: 400, Median: 200 * time.Millisecond, Sigma: 0.7},
 		{Share: 0.3, MinTasks: 1, MaxTasks: 20, Median: 300 * time.Millisecond, Sigma: 0.7, Idempotent: true},
 	},
 }
 
-// The installation of today's size.
+// The size of the simulated installation.
 const (
 	numEntries = 4
 	numAgents  = 10
-	numSlots   = 8 // of one target
+	numSlots   = 8 // per target
 	service    = "desk"
 )
 
@@ -84,15 +91,15 @@
 	floodTeam = "flood"
 )
 
-// arrival is one job of a run.
+// arrival is a job that arrives in a run.
 type arrival struct {
-	at    time.Duration
-	entry int
-	spec  job.Spec
-	sizes []time.Duration // run times at speed 1
+	at         time.Duration
+	entryIndex int // of the entry that receives the job
+	spec       job.Spec
+	taskTimes  []time.Duration // run times at speed 1
 }
 
-// speeds returns the speed of each target.
+// speeds returns the speed of each target, from 1 down to Slowest.
 func (w *Workload) speeds() []float64 {
 	s := make([]float64, numAgents)
 	for i := range s {
@@ -101,7 +108,7 @@
 	return s
 }
 
-// meanWork is the mean run time of a job's tasks together, at speed 1.
+// meanWork returns the mean run time of all tasks of a job together, at speed 1.
 func (w *Workload) meanWork() (seconds float64) {
 	for _, k := range w.Kinds {
 		tasks := float64(k.MinTasks+k.MaxTasks) / 2
@@ -110,8 +117,7 @@
 	return seconds
 }
 
-// capacity returns the work that all slots do in a second, in seconds at speed
-// 1.
+// capacity returns the work that all slots do in a second, in seconds at speed 1.
 func (w *Workload) capacity() (c float64) {
 	for _, s := range w.speeds() {
 		c += s * numSlots
@@ -119,7 +125,8 @@
 	return c
 }
 
-// arrivals draws the jobs of a run.
+// arrivals draws the jobs of a run. The order of the random draws decides what a
+// seed means.
 func (sc *Scenario) arrivals() []arrival {
 	as := sc.arrivalsOf(teamName, rand.New(rand.NewPCG(sc.Seed, 11)), sc.Load, 0)
 	if sc.Flood {
@@ -128,12 +135,12 @@
 	return as
 }
 
-// arrivalsOf draws the jobs that a team submits from a time on.
+// arrivalsOf draws the jobs that a team submits from a point in time on.
 func (sc *Scenario) arrivalsOf(team string, r *rand.Rand, load float64, from time.Duration) (as []arrival) {
 	rate := load * sc.Workload.capacity() / sc.Workload.meanWork()
 	for at := from; ; {
 		gap := r.ExpFloat64() / rate
-		if sc.has(Burst) && at >= faultAt && at < faultAt+burstLen {
+		if sc.has(Burst) && at >= faultAt && at < faultAt+burstDuration {
 			gap /= burstFactor
 		}
 		at += time.Duration(gap * float64(time.Second))
@@ -145,8 +152,8 @@
 }
 
 func (sc *Scenario) arrival(r *rand.Rand, team string, at time.Duration, n int) arrival {
-	k := sc.kind(r.Float64())
-	a := arrival{at: at, entry: r.IntN(numEntries)}
+	k := sc.pickKind(r.Float64())
+	a := arrival{at: at, entryIndex: r.IntN(numEntries)}
 	a.spec = job.Spec{
 		Key: job.MakeKey(team, strconv.Itoa(n)), Team: team, Service: service,
 		Idempotent: k.Idempotent, Deadline: sc.deadline(),
@@ -156,7 +163,7 @@
 	}
 	for range k.MinTasks + r.IntN(k.MaxTasks-k.MinTasks+1) {
 		size := float64(k.Median) * math.Exp(k.Sigma*r.NormFloat64())
-		a.sizes = append(a.sizes, time.Duration(size))
+		a.taskTimes = append(a.taskTimes, time.Duration(size))
 		declared := time.Duration(size)
 		if sc.has(WrongSizes) {
 			declared = time.Duration(size * math.Pow(10, 2*r.Float64()-1))
@@ -166,7 +173,8 @@
 	return a
 }
 
-func (sc *Scenario) kind(x float64) Kind {
+// pickKind returns the kind of job for a number in [0, 1).
+func (sc *Scenario) pickKind(x float64) Kind {
 	for _, k := range sc.Workload.Kinds {
 		if x < k.Share {
 			return k
