--- a/ledger/commit.go
+++ b/ledger/commit.go
@@ -68,15 +68,15 @@
 		return nil, err
 	}
 	if len(p.commit.Writes)+len(p.commit.Deletes) == 0 {
-		return l.withoutWrites(now, p)
+		return l.commitWithoutWrites(now, p)
 	}
 	l.inFlight, l.lastSentAt = append(l.inFlight, p), now
 	return p, nil
 }
 
-// withoutWrites returns a commit for changes of jobs that are no longer retained. They
-// need only the confirmation that the tenure holds.
-func (l *Ledger) withoutWrites(now time.Time, p *Flight) (*Flight, error) {
+// commitWithoutWrites returns a commit for changes of jobs that are no longer retained.
+// They need only the confirmation that the tenure holds.
+func (l *Ledger) commitWithoutWrites(now time.Time, p *Flight) (*Flight, error) {
 	if len(p.changes) == 0 {
 		return nil, nil
 	}
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -80,7 +80,7 @@
 	jobs              map[string]*Job
 	changes           map[string][]Fact // to commit, by job
 	changedJobs       []string          // the keys of changes, in the order of their first change
-	ended             []*Job            // retained ended jobs, the first to end first
+	ended             []*Job            // retained ended jobs, by the time of their end
 	agents            map[string]bool   // enrolled agents; false until that is committed
 	enrollmentChanged bool              // agents differs from what was last committed
 	endedLoaded       bool              // the ended jobs have been read too
@@ -150,7 +150,7 @@
 // Held reports whether this entry holds the ledger and has read the open jobs.
 func (l *Ledger) Held() bool { return l.phase == held }
 
-// Whole reports whether it has read the ended jobs too, and can accept new ones.
+// Whole reports whether this entry has read the ended jobs too, and can accept new ones.
 func (l *Ledger) Whole() bool { return l.phase == held && l.endedLoaded }
 
 // Owned returns when the tenure was last known to hold.
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -120,16 +120,16 @@
 	d.l.Close(d.now, "b", work.Completed)
 	d.commit()
 
-	o := d.nextHome("e2")
-	o.acquire()
-	open := o.l.Open()
+	next := d.nextHome("e2")
+	next.acquire()
+	open := next.l.Open()
 	if len(open) != 1 || open[0].ID != "a" || fmt.Sprint(open[0].Done) != "[[1]]" || open[0].Failures[ref("a", 2)] != 1 {
 		t.Errorf("open %+v", open)
 	}
-	if b, ok := o.l.Job("b"); !ok || b.State != work.Completed {
+	if b, ok := next.l.Job("b"); !ok || b.State != work.Completed {
 		t.Errorf("job b is %+v", b)
 	}
-	if got := o.l.Enrolled(); len(got) != 1 || got[0] != "a1" {
+	if got := next.l.Enrolled(); len(got) != 1 || got[0] != "a1" {
 		t.Errorf("enrolled %v", got)
 	}
 }
@@ -248,13 +248,13 @@
 	d.commit()
 	d.l.Close(d.now, "a", work.Completed)
 	stale := d.nextCommit() // in flight while another entry takes the ledger
-	o := d.nextHome("e2")
-	o.acquire()
+	next := d.nextHome("e2")
+	next.acquire()
 	if deposed := d.carryOut(stale); !deposed || d.l.Epoch() != 0 {
 		t.Errorf("deposed %t, epoch %d", deposed, d.l.Epoch())
 	}
-	if len(o.l.Open()) != 1 || o.l.Epoch() != 2 {
-		t.Errorf("open %d, epoch %d", len(o.l.Open()), o.l.Epoch())
+	if len(next.l.Open()) != 1 || next.l.Epoch() != 2 {
+		t.Errorf("open %d, epoch %d", len(next.l.Open()), next.l.Epoch())
 	}
 	if len(d.changes) != 1 {
 		t.Errorf("changes %v: the end was not stored", d.changes)
@@ -324,9 +324,9 @@
 	d.l.Dismiss("a1")
 	d.now = d.now.Add(cfg.Refresh)
 	d.commit()
-	o := d.nextHome("e2")
-	o.acquire()
-	if got := o.l.Enrolled(); len(got) != 1 || got[0] != "a2" {
+	next := d.nextHome("e2")
+	next.acquire()
+	if got := next.l.Enrolled(); len(got) != 1 || got[0] != "a2" {
 		t.Errorf("enrolled %v", got)
 	}
 }
--- a/ledger/result.go
+++ b/ledger/result.go
@@ -70,8 +70,8 @@
 	return p.changes
 }
 
-// retry queues the contents of a commit again that failed or may have failed. Its
-// writes state the result, so carrying them out twice does no harm.
+// retry returns the contents of a commit that failed, or may have failed, to the queue.
+// Its writes state the result, so carrying them out twice does no harm.
 func (l *Ledger) retry(p *Flight) {
 	for _, id := range p.jobs {
 		delete(l.busy, id)
--- a/worker/entry.go
+++ b/worker/entry.go
@@ -12,7 +12,7 @@
 	Seq        uint64
 	Run        work.Run
 	End        work.End
-	Reason     string        // of a refusal
+	Reason     string        // of a refusal or lapse
 	Took       time.Duration // from the order to the end
 	Checkpoint string        // from which the task can resume; empty if there is none
 	Stored     bool          // its job is stored
--- a/worker/poll.go
+++ b/worker/poll.go
@@ -39,9 +39,9 @@
 	Saved  string // checkpoint; empty if there is none
 }
 
-// Fenced records that the worker has seen a higher token than the one it was
-// polled with. The worker does not say which, so the token rises by more with each
-// consecutive rejection.
+// Fenced records that the worker has rejected askedToken, that of a poll or a start,
+// since it has seen a higher one. The worker does not say which, so the token rises by
+// more with each consecutive rejection.
 func (g *Guard) Fenced(now time.Time, clock time.Duration, askedToken uint64) {
 	g.updateClock(now, clock)
 	if askedToken < g.token {
@@ -58,7 +58,7 @@
 
 // Looked processes the answer to a poll.
 func (g *Guard) Looked(now time.Time, snapshot Look) {
-	g.workerRestarted(now, snapshot.Born, snapshot.Clock)
+	g.handleWorkerRestart(now, snapshot.Born, snapshot.Clock)
 	if snapshot.Born != 0 && snapshot.Born < g.target.Born {
 		return
 	}
@@ -113,14 +113,15 @@
 			continue
 		}
 		if _, listed := snapshot.Running[known.start.Run]; !listed {
-			end, reason := known.absenceReason()
+			end, reason := known.endIfUnlisted()
 			g.finish(now, ref, end, reason)
 		}
 	}
 }
 
-// absenceReason returns the end of an unclear run that the worker does not list.
-func (r *run) absenceReason() (end work.End, reason string) {
+// endIfUnlisted returns the end of an unclear run that the worker does not list, and
+// the reason.
+func (r *run) endIfUnlisted() (end work.End, reason string) {
 	if r.workerRestarted {
 		return work.Lapsed, "worker started anew"
 	}
--- a/worker/tenure_test.go
+++ b/worker/tenure_test.go
@@ -116,7 +116,7 @@
 
 // The ends that a restarted agent finds may be of stored jobs and not committed.
 func TestRestartedAgentRetainsInheritedEnds(t *testing.T) {
-	newGuardWithEnd := func(t *testing.T) *driver {
+	newDriverWithEnd := func(t *testing.T) *driver {
 		d := newDriver(t)
 		d.answerPollWithEnd(work.Done, run(0, 1))
 		if d.g.Seen() != 0 || d.g.Until(d.now) != 0 {
@@ -125,7 +125,7 @@
 		return d
 	}
 	t.Run("lease expires", func(t *testing.T) {
-		d := newGuardWithEnd(t)
+		d := newDriverWithEnd(t)
 		d.applyTenure("e1", 1)
 		d.advance(cfg.LongestLease / 2)
 		d.answerPoll(0)
@@ -139,7 +139,7 @@
 		}
 	})
 	t.Run("nothing is stored", func(t *testing.T) {
-		d := newGuardWithEnd(t)
+		d := newDriverWithEnd(t)
 		d.g.Own(d.now, "e1", worker.Tenure{Vacant: true})
 		if d.g.Seen() != 1 || d.g.Until(d.now) == 0 {
 			t.Errorf("acknowledged end %d, lease until %v", d.g.Seen(), d.g.Until(d.now))
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -73,7 +73,7 @@
 	start           work.Start
 	entry           string
 	phase           phase
-	token           uint64        // with which it was last sent
+	token           uint64        // with which its start was last sent
 	orderedAt       time.Time     // first start order
 	stopRequestedAt time.Time     // last stop request
 	percent         int           // progress at the last poll
@@ -139,7 +139,7 @@
 		return // delayed; from an earlier incarnation
 	}
 	g.initialise(now)
-	g.workerRestarted(now, t.Born, clock)
+	g.handleWorkerRestart(now, t.Born, clock)
 	if t.Born == 0 {
 		t.Born = g.target.Born
 	}
@@ -160,12 +160,12 @@
 // Leave records that the worker has announced its end.
 func (g *Guard) Leave() { g.leaving = true }
 
-// workerRestarted handles a restart of the worker, if born is that of a newer
+// handleWorkerRestart handles a restart of the worker if born is that of a newer
 // incarnation. The runs of the earlier incarnation have ended. But the new one may
 // have carried out an order that was in transit, so each run is unclear until a
 // poll with a higher token lists it or not. The tokens continue from their last
 // value, since such an order carries its own token.
-func (g *Guard) workerRestarted(now time.Time, born int64, clock time.Duration) {
+func (g *Guard) handleWorkerRestart(now time.Time, born int64, clock time.Duration) {
 	if born == 0 || g.target.Born == 0 || born <= g.target.Born {
 		if g.target.Born == 0 {
 			g.target.Born = born
--- a/worker/worker_test.go
+++ b/worker/worker_test.go
@@ -53,11 +53,11 @@
 
 // answerPoll answers a poll that was sent with the current token.
 func (d *driver) answerPoll(percent int, running ...work.Run) {
-	l := worker.Look{Token: d.g.Token(), Born: d.born, Clock: d.clock, Running: make(map[work.Run]int)}
+	snapshot := worker.Look{Token: d.g.Token(), Born: d.born, Clock: d.clock, Running: make(map[work.Run]int)}
 	for _, r := range running {
-		l.Running[r] = percent
+		snapshot.Running[r] = percent
 	}
-	d.g.Looked(d.now, l)
+	d.g.Looked(d.now, snapshot)
 }
 
 // lastEvent returns the last event for the entry, which must be of the given end.
@@ -100,12 +100,12 @@
 func TestUnansweredStartIsRefusedAfterHigherToken(t *testing.T) {
 	d := newDriver(t)
 	sent := d.order(start(0, 1, 10))[0]
-	asked := worker.Look{Token: sent.Token, Born: d.born, Clock: d.clock}
+	snapshot := worker.Look{Token: sent.Token, Born: d.born, Clock: d.clock}
 	d.g.Unanswered(run(0, 1))
 	if d.g.Token() <= sent.Token {
 		t.Fatal("token did not rise")
 	}
-	d.g.Looked(d.now, asked)
+	d.g.Looked(d.now, snapshot)
 	if n := len(d.g.Events("e1", 0)); n != 0 {
 		t.Fatal("run ended by a poll with the token of the order")
 	}
