--- a/agent/agent.go
+++ b/agent/agent.go
@@ -50,24 +50,24 @@
 
 // Agent is a running agent.
 type Agent struct {
-	cfg         setting.Agent
-	log         zerolog.Logger
-	clock       clock.Clock
-	network     wire.Network
-	id          string
-	address     string
-	metrics     *telemetry.Metrics
-	messages    *wire.Messages
-	counters    counters
-	target      *http.Client
-	server      *wire.Server
-	web         *web.Server
-	rows        table.Replica
-	offers      chan string   // entries whose loan has grown; when full, an entry learns of it later
-	announceNow chan struct{} // makes announceDuty run at once
-	stop        chan struct{}
-	duties      sync.WaitGroup
-	starts      sync.WaitGroup // running tasks
+	cfg          setting.Agent
+	log          zerolog.Logger
+	clock        clock.Clock
+	network      wire.Network
+	id           string
+	address      string
+	metrics      *telemetry.Metrics
+	messages     *wire.Messages
+	counters     counters
+	target       *http.Client
+	server       *wire.Server
+	web          *web.Server
+	rows         table.Replica
+	offers       chan string   // entries whose loan has grown; when full, an entry learns of it later
+	announceNow  chan struct{} // makes announceDuty run at once
+	stop         chan struct{}
+	duties       sync.WaitGroup
+	runningTasks sync.WaitGroup
 
 	mu                sync.Mutex // guards the fields below
 	gate              *gate.Gate
--- a/agent/link.go
+++ b/agent/link.go
@@ -59,7 +59,7 @@
 			l = &link{client: a.newClient(addr)}
 			a.links[addr] = l
 		}
-		if now.Sub(l.lastContact) >= a.heartbeatLocked(l) || l.entry == "" {
+		if now.Sub(l.lastContact) >= a.heartbeatIntervalLocked(l) || l.entry == "" {
 			l.lastContact = now
 			due = append(due, l)
 		}
@@ -70,12 +70,12 @@
 // idleHeartbeatFactor lengthens the heartbeat interval of an entry that uses no slot.
 const idleHeartbeatFactor = 4
 
-func (a *Agent) heartbeatLocked(l *link) time.Duration {
+func (a *Agent) heartbeatIntervalLocked(l *link) time.Duration {
 	d := a.cfg.Policy.Heartbeat.D() * time.Duration(max(1, l.stretch))
 	if !a.lender.Used(l.entry) {
 		return d * idleHeartbeatFactor
 	}
-	return min(d, a.cfg.Policy.StampLife.D()/2) // or its credits expire
+	return min(d, a.cfg.Policy.StampLife.D()/2) // otherwise its credits would expire
 }
 
 // wantedAddressesLocked returns the addresses of the entries to lend to. It closes
@@ -113,8 +113,8 @@
 		for i := range p.Homes {
 			level = append(level, reg.Rank(p.HomeOf(service, i))[depth])
 		}
-		own := member.Registry{Entries: level}
-		for _, e := range own.Rank(agent) {
+		levelRegistry := member.Registry{Entries: level}
+		for _, e := range levelRegistry.Rank(agent) {
 			add(e)
 		}
 	}
@@ -129,7 +129,8 @@
 	}
 }
 
-// announce sends a heartbeat to one entry, with a spread of credits.
+// announce sends a heartbeat to one entry, after lending it an even share of the spare
+// credits.
 func (a *Agent) announce(l *link) {
 	a.mu.Lock()
 	if l.entry != "" {
--- a/agent/methods.go
+++ b/agent/methods.go
@@ -21,7 +21,7 @@
 	dec := a.admit(args)
 	if dec.Verdict == gate.Start {
 		dec = a.execute(d)
-		a.starts.Done()
+		a.runningTasks.Done()
 	}
 	rep.Decision = dec
 	rep.Status = a.status(d.Entry)
@@ -29,7 +29,7 @@
 }
 
 // admit lets the gate decide on a dispatch. If the verdict is Start, the caller must
-// call starts.Done.
+// call runningTasks.Done.
 func (a *Agent) admit(args *wire.RunArgs) gate.Decision {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -41,7 +41,7 @@
 	started := dec.Verdict == gate.Start
 	a.lender.Settle(d.Entry, args.Epoch, args.Demand, started)
 	if started {
-		a.starts.Add(1)
+		a.runningTasks.Add(1)
 		a.counters.started.Inc(1)
 	} else {
 		a.counters.refused.Inc(1)
--- a/agent/metrics.go
+++ b/agent/metrics.go
@@ -50,11 +50,11 @@
 		requests.Set(a.messages.Requests())
 		replies.Set(a.messages.Replies())
 		a.mu.Lock()
-		nj, na := a.gate.Records()
+		jobCount, attemptCount := a.gate.Records()
 		slots.Update(float64(a.lender.Slots()))
 		running.Update(float64(a.gate.Running()))
 		a.mu.Unlock()
-		jobs.Update(float64(nj))
-		attempts.Update(float64(na))
+		jobs.Update(float64(jobCount))
+		attempts.Update(float64(attemptCount))
 	}
 }
--- a/agent/stop.go
+++ b/agent/stop.go
@@ -17,7 +17,7 @@
 	defer func() { err = errors.Annotate(err, "stopping the agent") }()
 	a.mu.Lock()
 	a.stopping = true
-	a.applyLocked()
+	a.updateSlotsAndDrainLocked()
 	a.mu.Unlock()
 	if err := a.awaitIdle(ctx); err != nil {
 		a.Kill()
@@ -43,7 +43,7 @@
 func (a *Agent) awaitIdle(ctx context.Context) error {
 	idle := make(chan struct{})
 	go func() {
-		a.starts.Wait()
+		a.runningTasks.Wait()
 		close(idle)
 	}()
 	select {
@@ -88,7 +88,7 @@
 
 // peers asks the entries for the listed agents of the same service.
 func (a *Agent) peers(ctx context.Context) []member.Agent {
-	for _, l := range a.reachable() {
+	for _, l := range a.reachableLinks() {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		args := wire.PeersArgs{Agent: a.id, Service: a.service()}
 		rep, err := wire.Call[wire.PeersArgs, wire.PeersReply](ctx, l.client, wire.EntryPeers, &args)
@@ -106,7 +106,7 @@
 	return a.announced.Service
 }
 
-func (a *Agent) reachable() (ls []*link) {
+func (a *Agent) reachableLinks() (ls []*link) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, l := range a.links {
@@ -119,7 +119,7 @@
 
 // leave notifies the entries that the agent has ended, and which agent is its heir.
 func (a *Agent) leave(ctx context.Context, heir string) {
-	for _, l := range a.reachable() {
+	for _, l := range a.reachableLinks() {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		args := wire.LeaveArgs{Agent: a.id, Heir: heir}
 		_, err := wire.Call[wire.LeaveArgs, wire.LeaveReply](ctx, l.client, wire.EntryLeave, &args)
--- a/agent/target.go
+++ b/agent/target.go
@@ -63,7 +63,7 @@
 	if ann.Leaving {
 		a.lastTargetContact = time.Time{}
 	}
-	a.applyLocked()
+	a.updateSlotsAndDrainLocked()
 	return nil
 }
 
@@ -77,14 +77,14 @@
 		a.gate.List(u.Listed)
 	}
 	if changed {
-		a.applyLocked()
+		a.updateSlotsAndDrainLocked()
 	}
 }
 
-// applyLocked updates slots and draining from the target's announcement, its row in
-// the table, and the agent's own stop. When draining begins or ends, it notifies all
-// entries at once, so that the change takes effect before the next heartbeat.
-func (a *Agent) applyLocked() {
+// updateSlotsAndDrainLocked updates slots and draining from the target's announcement,
+// its row in the table, and the agent's own stop. When draining begins or ends, it
+// notifies all entries at once, so that the change takes effect before the next heartbeat.
+func (a *Agent) updateSlotsAndDrainLocked() {
 	row := a.rowLocked()
 	slots := a.announced.Slots
 	if row.Limit > 0 {
@@ -95,12 +95,12 @@
 	}
 	a.lender.SetSlots(slots)
 	outOfContact := a.clock.Now().Sub(a.lastTargetContact) > a.cfg.TargetLost.D()
-	drain := a.stopping || outOfContact || row.Drain || row.Removed
-	if drain == a.gate.Draining() {
+	mustDrain := a.stopping || outOfContact || row.Drain || row.Removed
+	if mustDrain == a.gate.Draining() {
 		return
 	}
-	a.gate.Drain(drain)
-	a.log.Info().Bool("draining", drain).Str("target", a.announced.Name).Bool("silent", outOfContact).Msg("target changed")
+	a.gate.Drain(mustDrain)
+	a.log.Info().Bool("draining", mustDrain).Str("target", a.announced.Name).Bool("silent", outOfContact).Msg("target changed")
 	for _, l := range a.links {
 		l.lastContact = time.Time{}
 	}
@@ -129,7 +129,7 @@
 			return
 		case <-tick.C:
 			a.mu.Lock()
-			a.applyLocked()
+			a.updateSlotsAndDrainLocked()
 			a.mu.Unlock()
 		}
 	}
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -195,8 +195,8 @@
 			strongest = m
 		}
 	}
-	selfStrongest := strongest != nil && strongest.Address == r.self.Address
-	if selfStrongest && (home == nil || strongest.Cores >= takeoverFactor*home.Cores) {
+	selfIsStrongest := strongest != nil && strongest.Address == r.self.Address
+	if selfIsStrongest && (home == nil || strongest.Cores >= takeoverFactor*home.Cores) {
 		r.highestTerm++
 		r.self.Term = r.highestTerm
 		return r.self, true
--- a/site/agent_methods.go
+++ b/site/agent_methods.go
@@ -70,10 +70,10 @@
 // inheritedRuns returns the runs of stored jobs, which a new holder of the ledger
 // adopts. The caller holds mu.
 func (a *Agent) inheritedRuns() []schedule.Kept {
-	runs, since := a.guard.Kept()
+	runs, orderedAt := a.guard.Kept()
 	kept := make([]schedule.Kept, len(runs))
 	for i, r := range runs {
-		kept[i] = schedule.Kept{Run: r, Age: a.now().Sub(since[i])}
+		kept[i] = schedule.Kept{Run: r, Age: a.now().Sub(orderedAt[i])}
 	}
 	return kept
 }
--- a/site/home.go
+++ b/site/home.go
@@ -69,7 +69,7 @@
 // waiter is an entry that waits for the outcome of a job.
 type waiter struct {
 	entry entrySession
-	done  chan work.Outcome // has space for one
+	done  chan work.Outcome // buffered for the one outcome
 }
 
 func newHome(e *Entry) *home {
--- a/site/home_ledger.go
+++ b/site/home_ledger.go
@@ -269,8 +269,8 @@
 // recordDecisions adds the core's decisions about stored jobs to the ledger. The
 // caller holds mu.
 func (h *home) recordDecisions(d *schedule.Decisions) {
-	for _, m := range d.Marks {
-		h.ledger.End(m.Run.Task, m.End, ledger.Mark{Agent: m.Agent, Life: m.Life, Seq: m.Seq})
+	for _, runEnd := range d.Marks {
+		h.ledger.End(runEnd.Run.Task, runEnd.End, ledger.Mark{Agent: runEnd.Agent, Life: runEnd.Life, Seq: runEnd.Seq})
 	}
 	for _, answer := range d.Outcomes {
 		h.ledger.Close(h.e.wall(), answer.Job, answer.Outcome.State)
--- a/site/home_route.go
+++ b/site/home_route.go
@@ -43,8 +43,8 @@
 	Missing  bool        // the key does not exist
 }
 
-func (w *storeRoute) get(key string) (it store.Item, err error) {
-	rep, err := w.call(&StoreArgs{Key: key})
+func (r *storeRoute) get(key string) (it store.Item, err error) {
+	rep, err := r.call(&StoreArgs{Key: key})
 	switch {
 	case err != nil:
 		return it, err
@@ -54,21 +54,21 @@
 	return rep.Items[0], nil
 }
 
-func (w *storeRoute) list(prefix string) ([]store.Item, error) {
-	rep, err := w.call(&StoreArgs{Prefix: prefix})
+func (r *storeRoute) list(prefix string) ([]store.Item, error) {
+	rep, err := r.call(&StoreArgs{Prefix: prefix})
 	if err != nil {
 		return nil, err
 	}
 	return rep.Items, nil
 }
 
-func (w *storeRoute) commit(c *store.Commit) (rev uint64, err error) {
-	w.mu.Lock()
-	limit := w.limit
-	w.mu.Unlock()
-	sent := w.e.now()
-	rep, err := w.call(&StoreArgs{Commit: c, Limit: limit})
-	w.adjustLimit(limit, w.e.now().Sub(sent), err)
+func (r *storeRoute) commit(c *store.Commit) (rev uint64, err error) {
+	r.mu.Lock()
+	limit := r.limit
+	r.mu.Unlock()
+	sent := r.e.now()
+	rep, err := r.call(&StoreArgs{Commit: c, Limit: limit})
+	r.adjustLimit(limit, r.e.now().Sub(sent), err)
 	switch {
 	case err != nil:
 		return 0, err
@@ -85,31 +85,31 @@
 // adjustLimit sets the timeout of the next commit. A timeout that is too short costs
 // two calls, since the commit is sent again; one that is too long delays all later
 // changes when an answer is lost.
-func (w *storeRoute) adjustLimit(limit, took time.Duration, err error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (r *storeRoute) adjustLimit(limit, took time.Duration, err error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	switch {
 	case err == nil:
-		w.limit = min(max(commitTimeoutFactor*took, minCommitTimeout), relayTimeout)
+		r.limit = min(max(commitTimeoutFactor*took, minCommitTimeout), relayTimeout)
 	case !errors.Is(err, store.ErrRefused):
-		w.limit = min(max(w.limit, 2*limit), relayTimeout)
+		r.limit = min(max(r.limit, 2*limit), relayTimeout)
 	}
 }
 
 // call uses the current route. If the call fails, the next call uses another route.
-func (w *storeRoute) call(args *StoreArgs) (rep *StoreReply, err error) {
-	w.mu.Lock()
-	via := w.via
-	w.mu.Unlock()
+func (r *storeRoute) call(args *StoreArgs) (rep *StoreReply, err error) {
+	r.mu.Lock()
+	via := r.via
+	r.mu.Unlock()
 	if via == "" {
-		rep, err = w.e.callStore(args)
+		rep, err = r.e.callStore(args)
 	} else {
 		ctx, cancel := context.WithTimeout(context.Background(), relayTimeout)
 		defer cancel()
-		rep, err = wire.Call[StoreArgs, StoreReply](ctx, w.e.peer(via), entryStore, args)
+		rep, err = wire.Call[StoreArgs, StoreReply](ctx, r.e.peer(via), entryStore, args)
 	}
 	if err != nil {
-		w.nextRoute(via)
+		r.nextRoute(via)
 	}
 	return rep, err
 }
@@ -119,29 +119,29 @@
 
 // nextRoute switches from a route that failed to the next one. The rotation is made
 // of this entry itself and the entries in contact, in the order of their addresses.
-func (w *storeRoute) nextRoute(failed string) {
+func (r *storeRoute) nextRoute(failed string) {
 	var others []string
-	for _, m := range w.e.entriesInContact() {
+	for _, m := range r.e.entriesInContact() {
 		others = append(others, m.Address)
 	}
 	slices.Sort(others)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.via != failed {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.via != failed {
 		return
 	}
 	next, _ := slices.BinarySearch(others, failed+"\x00")
-	if w.via = ""; next < len(others) {
-		w.via = others[next]
+	if r.via = ""; next < len(others) {
+		r.via = others[next]
 	}
 }
 
 // currentRoute returns the address of the entry that relays calls of the store; empty
 // if this entry calls the store directly.
-func (w *storeRoute) currentRoute() string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.via
+func (r *storeRoute) currentRoute() string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.via
 }
 
 // callStore calls the store directly.
--- a/site/link_test.go
+++ b/site/link_test.go
@@ -54,8 +54,8 @@
 }
 
 // TestOrderNumbersRiseAcrossLinks: a home that loses the role and gets it back opens
-// new links. Agents remember the last order of its incarnation and take no lower
-// number.
+// new links. Agents remember the last order of the home's incarnation and take no
+// lower number.
 func TestOrderNumbersRiseAcrossLinks(t *testing.T) {
 	h := newHome(testEntry())
 	defer h.close()
--- a/site/site.go
+++ b/site/site.go
@@ -55,28 +55,28 @@
 //   - stopRunsAfter after the last contact of its home with a working agent,
 //   - workerLease later if the agent has stopped working.
 const (
-	workerLease             = 800 * time.Millisecond // covers two lost polls
-	pollWait                = 100 * time.Millisecond // a poll returns at the end of a run, or after this time
-	pollSlack               = 50 * time.Millisecond  // for the answer to a poll that has waited
-	pollers                 = 2                      // concurrent polls, since one of them may get no answer
-	workerContactTimeout    = 250 * time.Millisecond // without an answered poll, the worker gets no new task
-	stallAge                = 250 * time.Millisecond // without progress, a run counts as stalled
-	orderTimeout            = 60 * time.Millisecond  // after which a start counts as unanswered; answers take 2 ms
-	stopRunsAfter           = 450 * time.Millisecond // out of contact with a home, an agent stops its runs
-	orderMaxAge             = 400 * time.Millisecond // greatest age of the echo of an order that an agent takes
-	syncWait                = 100 * time.Millisecond // so that an agent hears from its home four times in stopRunsAfter
-	syncWaitPerLink         = time.Millisecond
-	greetIntervalPerEntry   = 2500 * time.Microsecond // of the interval between greetings of a home, for each known entry
-	maxSyncWait             = 200 * time.Millisecond  // suspectAfter less the time of a message that is sent again
-	maxIdleSyncWait         = 400 * time.Millisecond  // for agents without tasks
-	suspectIdleAfter        = maxIdleSyncWait + 150*time.Millisecond
-	syncSlack               = 250 * time.Millisecond // for the answer to a sync that has waited
-	suspectAfter            = 300 * time.Millisecond // out of contact, an agent gets no new task
+	workerLease             = 800 * time.Millisecond                 // covers two lost polls
+	pollWait                = 100 * time.Millisecond                 // a poll returns at the end of a run, or after this time
+	pollSlack               = 50 * time.Millisecond                  // for the answer to a poll that has waited
+	pollers                 = 2                                      // concurrent polls, since one of them may get no answer
+	workerContactTimeout    = 250 * time.Millisecond                 // a worker that has answered no poll for this long gets no new task
+	stallAge                = 250 * time.Millisecond                 // a run without progress for this long counts as stalled
+	orderTimeout            = 60 * time.Millisecond                  // after which a start counts as unanswered; answers take 2 ms
+	stopRunsAfter           = 450 * time.Millisecond                 // an agent stops the runs of a home that is out of contact for this long
+	orderMaxAge             = 400 * time.Millisecond                 // greatest age of the echo of an order that an agent takes
+	syncWait                = 100 * time.Millisecond                 // a sync waits this long for events, so that an agent is in contact with its home four times in stopRunsAfter
+	syncWaitPerLink         = time.Millisecond                       // of the wait of a sync, for each link of the home
+	greetIntervalPerEntry   = 2500 * time.Microsecond                // of the interval between greetings of a home, for each known entry
+	maxSyncWait             = 200 * time.Millisecond                 // for agents with tasks; suspectAfter less the time of a message that is sent again
+	maxIdleSyncWait         = 400 * time.Millisecond                 // for agents without tasks
+	suspectIdleAfter        = maxIdleSyncWait + 150*time.Millisecond // suspectAfter for agents without tasks
+	syncSlack               = 250 * time.Millisecond                 // for the answer to a sync that has waited
+	suspectAfter            = 300 * time.Millisecond                 // an agent that is out of contact for this long gets no new task
 	runsLostAfter           = stopRunsAfter + workerLease + 100*time.Millisecond
-	withdrawJobsAfter       = 450 * time.Millisecond // out of contact with an entry, a home withdraws its jobs
-	homeContactTimeout      = 350 * time.Millisecond // out of contact, a home counts as lost
-	homeGreetInterval       = 100 * time.Millisecond // so that a home hears from an entry four times in withdrawJobsAfter
-	maxHomeGreetInterval    = 150 * time.Millisecond // so that a home hears from an entry three times in withdrawJobsAfter
+	withdrawJobsAfter       = 450 * time.Millisecond // a home withdraws the jobs of an entry that is out of contact for this long
+	homeContactTimeout      = 350 * time.Millisecond // a home that is out of contact for this long counts as lost
+	homeGreetInterval       = 100 * time.Millisecond // between greetings of a home, so that it is in contact with an entry four times in withdrawJobsAfter
+	maxHomeGreetInterval    = 150 * time.Millisecond // so that a home is in contact with an entry three times in withdrawJobsAfter
 	idleHomeGreetInterval   = 200 * time.Millisecond // for a home that has no jobs of this entry; shorter than homeContactTimeout
 	panelNamedFor           = time.Second            // how long an entry is greeted like the panel after another entry named it
 	panelGreetInterval      = 400 * time.Millisecond
@@ -84,9 +84,9 @@
 	peerContactTimeout      = 1200 * time.Millisecond              // for entries that are not home
 	failoverDelay           = stopRunsAfter + 400*time.Millisecond // from the last message to a lost home until its jobs are handed to the next one; covers the leases and a stop that is sent twice
 	announceInterval        = 700 * time.Millisecond
-	startupAnnounceInterval = 100 * time.Millisecond // between announcements to an entry that does not answer, in startupAnnounceFor
+	startupAnnounceInterval = 100 * time.Millisecond // between announcements to an entry that does not answer, for startupAnnounceFor from the first one
 	startupAnnounceFor      = 5 * time.Second
-	agentContactTimeout     = 2500 * time.Millisecond // out of contact, an agent is removed by an entry
+	agentContactTimeout     = 2500 * time.Millisecond // an entry removes an agent that is out of contact for this long
 	startupWait             = 150 * time.Millisecond  // before an entry becomes home; a home in contact answers within a few ms
 	panelSize               = 5                       // candidates for failover; they are all lost at once only if the site is lost
 	peerRetention           = 30 * time.Second
@@ -96,8 +96,8 @@
 // The times and limits of the ledger of stored jobs.
 const (
 	tenureDuration       = 5 * time.Second        // how long a holder may go on without the store, whose outages last that long
-	tenureMargin         = time.Second            // no task is placed in this time before the tenure ends
-	stopStoredRunsAfter  = 750 * time.Millisecond // out of contact with the holder, an agent stops runs of stored jobs; the next holder takes over after 400 to 500 ms
+	tenureMargin         = time.Second            // before the end of a tenure, in which no task is placed
+	stopStoredRunsAfter  = 750 * time.Millisecond // an agent stops runs of stored jobs if the holder is out of contact for this long; the next holder takes over after 400 to 500 ms
 	storedRunsLostAfter  = stopStoredRunsAfter + workerLease + 100*time.Millisecond
 	previousRunsEndAfter = tenureDuration + workerLease + 500*time.Millisecond // after the ledger is acquired, no run of the previous holder is left; includes a tick, a stop and slack
 	tenureRenewInterval  = 700 * time.Millisecond                              // between commits, far shorter than tenureDuration
@@ -106,12 +106,12 @@
 	storeRetryInterval   = 60 * time.Millisecond                               // between calls of the store that fail at once
 	maxPendingCommits    = 8                                                   // concurrent commits; at 60 times its usual delay, the store answers 4 a second on each
 	maxCommitEntries     = 32                                                  // most conditions, writes and deletions in a commit that the store takes
-	maxStoreOutage       = 600 * time.Millisecond                              // without an answer from the store, no job is accepted
+	maxStoreOutage       = 600 * time.Millisecond                              // no job is accepted if the store has not answered for this long
 	minCommitTimeout     = 100 * time.Millisecond                              // of a first commit, 20 times the usual answer time; doubled after each commit without an answer
 	reacquireDelay       = 2 * time.Second                                     // before a home acquires the ledger again after another home took it
 	extraStatusRetention = 20 * time.Second                                    // how long an ended job is kept beyond the time promised to callers
 	stateLongPoll        = 500 * time.Millisecond                              // for the end of a running job whose state a caller asks for
-	stateFallbackAfter   = 400 * time.Millisecond                              // without an answer from the holder, the store is asked
+	stateFallbackAfter   = 400 * time.Millisecond                              // the store is asked if the holder has not answered for this long
 )
 
 // defaultRequestLines is the most log lines about single jobs and runs that a process
