--- a/credit/lender.go
+++ b/credit/lender.go
@@ -22,7 +22,7 @@
 //
 // At the agent, for each dispatch:
 //
-//	free := l.Free(entry, epoch)
+//	free := l.HasFreeSlot(entry, epoch)
 //	dec := g.Dispatch(now, &d, free)
 //	l.DispatchDecided(entry, epoch, demand, dec.Verdict == gate.Start)
 //
--- a/gate/claim.go
+++ b/gate/claim.go
@@ -7,7 +7,7 @@
 )
 
 // Claim answers each item of c with the tasks of the job that started here, and
-// promises to obey no lower ballot if it grants the item.
+// promises to reject lower ballots if it grants the item.
 //
 // A claim that covers an older registry than this agent has seen is not
 // granted: it may have left out an agent at which a later claim started tasks.
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -13,8 +13,8 @@
 //
 // The entries ensure that a task doesn't start at two agents: an entry sends a
 // task to one agent at a time, and an entry that takes over a job first claims
-// it at every registered agent. Dispatch enforces the rules that make this hold
-// while messages are late, duplicated or lost, and while entries and agents
+// it at every registered agent. Gate.Dispatch enforces the rules that make this
+// hold while messages are late, duplicated or lost, and while entries and agents
 // join.
 //
 // A stamp is the agent's monotonic time. Entries echo the latest stamp that
@@ -58,7 +58,7 @@
 	jobs         map[job.Key]*jobRecord
 	closed       map[attempt]struct{}
 	expiries     []expiry
-	adoptedUntil map[string]time.Time // until when this agent answers for a predecessor, by its incarnation
+	adoptedUntil map[string]time.Time // by incarnation of a predecessor: until when this agent answers for it
 }
 
 // attempt identifies one dispatch by its entry and the entry's attempt number.
@@ -126,7 +126,7 @@
 	return now.Sub(g.startedAt)
 }
 
-// List records that the registry lists this agent since revision rev.
+// List records that the registry has listed this agent since revision rev.
 func (g *Gate) List(rev uint64) {
 	if g.joined == 0 {
 		g.joined = rev
@@ -295,6 +295,8 @@
 	return Ballot{}
 }
 
+// touchJob returns the record of a job, which it creates if needed, and marks it
+// as changed now.
 func (g *Gate) touchJob(now time.Time, k job.Key) *jobRecord {
 	j := g.jobs[k]
 	if j == nil {
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -31,13 +31,13 @@
 	g, now := newListedGate()
 	d := dispatchOf(g, now, 1)
 	if decision := g.Dispatch(now, &d, true); decision.Verdict != gate.Start {
-		t.Fatalf("first dispatch: %+v", decision)
+		t.Fatalf("first dispatch: got %+v, want a start", decision)
 	}
 	g.Finish(now, gate.Report{Task: d.Task, Phase: gate.Succeeded, Result: []byte("7")})
 	d.Attempt = 2
 	decision := g.Dispatch(now, &d, true)
 	if decision.Verdict != gate.Recorded || string(decision.Report.Result) != "7" {
-		t.Errorf("second dispatch: %+v", decision)
+		t.Errorf("second dispatch: got %+v, want the recorded result 7", decision)
 	}
 }
 
@@ -46,10 +46,10 @@
 	d := dispatchOf(g, now, 1)
 	s := gate.Seal{Entry: "e1", Agent: "a1", Items: []gate.SealItem{{Task: d.Task, Attempt: 1}}}
 	if decision := g.Seal(now, &s)[0]; decision.Verdict != gate.Sealed {
-		t.Fatalf("seal: %+v", decision)
+		t.Fatalf("seal: got %+v, want sealed", decision)
 	}
 	if decision := g.Dispatch(now, &d, true); decision.Verdict != gate.Refused || decision.Reason != gate.Repeated {
-		t.Errorf("sealed attempt: %+v", decision)
+		t.Errorf("dispatch of the sealed attempt: got %+v, want refused as repeated", decision)
 	}
 }
 
@@ -93,18 +93,18 @@
 		return g.Claim(now, &c)[0]
 	}
 	if got := claim("e2", 2, 5); !got.OK || len(got.Reports) != 1 {
-		t.Fatalf("claim: %+v", got)
+		t.Fatalf("claim: got %+v, want granted with 1 report", got)
 	}
 	if got := claim("e1", 1, 5); got.OK || got.Holder.Entry != "e2" {
-		t.Errorf("lower claim: %+v", got)
+		t.Errorf("lower claim: got %+v, want not granted, held by e2", got)
 	}
 	if got := claim("e3", 9, 4); got.OK || got.Registry != 5 {
-		t.Errorf("claim over an old registry: %+v", got)
+		t.Errorf("claim over an old registry: got %+v, want not granted, with revision 5", got)
 	}
 	other := dispatchOf(g, now, 2)
 	other.Task.Index = 1
 	if decision := g.Dispatch(now, &other, true); decision.Verdict != gate.Held {
-		t.Errorf("dispatch against the claim: %+v", decision)
+		t.Errorf("dispatch against the claim: got %+v, want held", decision)
 	}
 }
 
@@ -123,11 +123,11 @@
 	seal := gate.Seal{Entry: "e1", Agent: "a1", Items: []gate.SealItem{{Task: d.Task, Attempt: 1}, {Task: gate.TaskID{Job: job.Key("t/x")}, Attempt: 2}}}
 	decisions := successor.Seal(now, &seal)
 	if decisions[0].Verdict != gate.Recorded || decisions[1].Verdict != gate.Sealed {
-		t.Errorf("seals at the successor: %+v", decisions)
+		t.Errorf("seals at the successor: got %+v, want recorded and sealed", decisions)
 	}
 	seal.Agent = "a9"
 	if decision := successor.Seal(now, &seal)[0]; decision.Verdict != gate.Lost {
-		t.Errorf("seal for an unknown agent: %+v", decision)
+		t.Errorf("seal for an unknown agent: got %+v, want lost", decision)
 	}
 }
 
--- a/gate/message.go
+++ b/gate/message.go
@@ -62,7 +62,7 @@
 	Refused                 // not started; Reason says why
 	Held                    // not started; another entry holds the job's claim
 	Sealed                  // not started; sealed by request (Reason is Repeated if it was already closed)
-	Lost                    // the addressed agent is gone; nothing is known
+	Lost                    // nothing is known: this agent is not the addressed one and has not taken over its records
 )
 
 // Reason says why a dispatch was refused.
--- a/job/errors.go
+++ b/job/errors.go
@@ -18,7 +18,7 @@
 	Overloaded     Code = "overloaded"
 	Stopping       Code = "stopping"
 	NotFound       Code = "notFound"
-	Unready        Code = "unready" // the entry can not accept such jobs yet
+	Unready        Code = "unready" // the entry can not accept this job yet
 	Stale          Code = "stale"   // arrived too late to be admitted
 )
 
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -180,7 +180,7 @@
 	changes = append(changes, member.RemoveAgent{ID: "a1", Heir: "a2"}, member.RemoveAgent{ID: "a2", Heir: "a3"})
 	r, _ = r.With(changes)
 	if heir, ok := r.Heir("a1"); !ok || heir != "a3" {
-		t.Errorf("the heir of a1 is %q", heir)
+		t.Errorf("the heir of a1 is %q, want a3", heir)
 	}
 	if _, changed := r.With([]member.Change{member.RemoveAgent{ID: "a1"}}); changed {
 		t.Error("removing an agent twice changes the registry")
--- a/member/registry.go
+++ b/member/registry.go
@@ -11,19 +11,21 @@
 // an outage of the service delays joins and nothing else.
 //
 // The home of a job, the entry that coordinates it, is the listed entry that
-// wins the rendezvous hash of the job's home name. An entry may run a job
-// without a claim only if it was the job's home in every registry of the last
-// window, and if every listed peer has confirmed one of these registries within
-// the window; View decides this. In all other cases the entry claims the job
-// first (package claim). The crash of an entry changes no home until the entry
-// is removed from the list; then only the keys of that entry move.
+// wins the rendezvous hash of the job's home name, which the service and the key
+// determine. An entry may run a job without a claim only if it was the job's
+// home in every registry of the last window, and if every listed peer has
+// confirmed one of these registries within the window; View decides this. In all
+// other cases the entry claims the job first (package claim). The crash of an
+// entry changes no home until the entry is removed from the list; then only the
+// keys of that entry move.
 //
 // Registry values are immutable once shared. View is not safe for concurrent
 // use.
 //
 // # Usage
 //
-//	next := reg.WithAgent(member.Agent{ID: id, Address: addr, Service: svc})
+//	agent := member.Agent{ID: id, Address: addr, Service: svc}
+//	next, changed := reg.With([]member.Change{member.AddAgent{Agent: agent}})
 //	home, _ := next.Home(name)
 //	claim := view.MustClaim(now, name)
 package member
--- a/member/view.go
+++ b/member/view.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// View is one entry's knowledge of which other entries may run a job. NewView
-// makes one.
+// View is what one entry knows of the registry and of its peers. It decides
+// whether the entry may run a job, and whether it must claim the job first.
+// NewView makes one.
 type View struct {
 	self           string
 	window         time.Duration
--- a/table/row.go
+++ b/table/row.go
@@ -11,8 +11,9 @@
 //
 // # Usage
 //
-//	ed := table.Editor{Store: store, Clock: clock.System{}}
-//	row, err := ed.Set(ctx, table.Edit{Kind: table.Team, Name: "laval", Base: 12, ...})
+//	ed := table.Editor{Store: store, Clock: clock.System{}, NewID: newID}
+//	row := table.Row{Kind: table.Team, Name: "laval", Weight: 1, Limit: 8}
+//	row, err := ed.Set(ctx, table.Edit{Row: row, Base: 12})
 package table
 
 import (
--- a/web/server.go
+++ b/web/server.go
@@ -42,7 +42,7 @@
 // nil Server serves nothing.
 type Server struct {
 	rest  *rest.Server
-	ready chan struct{}
+	ready chan struct{} // closed once http is set
 
 	mu   sync.Mutex // guards http
 	http *http.Server
