--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -42,7 +42,7 @@
 func (e *Entry) newReport() func() {
 	requests := e.metrics.NewDelta("messages_requests")
 	replies := e.metrics.NewDelta("messages_replies")
-	deltas := newCoreDeltas(e.metrics)
+	totals := newCoreTotals(e.metrics)
 	open := e.metrics.Scope().Gauge("jobs_open")
 	agents := e.metrics.Scope().Gauge("agents")
 	tableRevision := e.metrics.Scope().Gauge("table_revision")
@@ -53,20 +53,20 @@
 		_ = e.doInCore(context.Background(), func(time.Time) { // fails only if the entry has ended
 			open.Update(float64(e.core.dispatch.Open()))
 			agents.Update(float64(len(e.core.dispatch.Agents())))
-			deltas.set(e.core.dispatch.Counters())
+			totals.set(e.core.dispatch.Counters())
 		})
 	}
 }
 
-// coreDeltas turns the totals of the Core into increments of metrics.
-type coreDeltas struct {
+// coreTotals holds the metrics that are set from the totals of the Core.
+type coreTotals struct {
 	submitted, attached, refused, complete, failed *telemetry.Delta
 	dispatched, requeued, seals, claims            *telemetry.Delta
 	claimsIncomplete, unclear, notRun, unknown     *telemetry.Delta
 }
 
-func newCoreDeltas(m *telemetry.Metrics) *coreDeltas {
-	return &coreDeltas{
+func newCoreTotals(m *telemetry.Metrics) *coreTotals {
+	return &coreTotals{
 		submitted:        m.NewDelta("jobs_submitted"),
 		attached:         m.NewDelta("jobs_attached"),
 		refused:          m.NewDelta("jobs_refused"),
@@ -83,18 +83,18 @@
 	}
 }
 
-func (d *coreDeltas) set(c dispatch.Counters) {
-	d.submitted.Set(c.Submitted)
-	d.attached.Set(c.Attached)
-	d.refused.Set(c.Refused)
-	d.complete.Set(c.Complete)
-	d.failed.Set(c.Failed)
-	d.dispatched.Set(c.Dispatched)
-	d.requeued.Set(c.Requeued)
-	d.seals.Set(c.Seals)
-	d.claims.Set(c.Claims)
-	d.claimsIncomplete.Set(c.ClaimsIncomplete)
-	d.unclear.Set(c.Unclear)
-	d.notRun.Set(c.NotRun)
-	d.unknown.Set(c.Unknown)
+func (t *coreTotals) set(c dispatch.Counters) {
+	t.submitted.Set(c.Submitted)
+	t.attached.Set(c.Attached)
+	t.refused.Set(c.Refused)
+	t.complete.Set(c.Complete)
+	t.failed.Set(c.Failed)
+	t.dispatched.Set(c.Dispatched)
+	t.requeued.Set(c.Requeued)
+	t.seals.Set(c.Seals)
+	t.claims.Set(c.Claims)
+	t.claimsIncomplete.Set(c.ClaimsIncomplete)
+	t.unclear.Set(c.Unclear)
+	t.notRun.Set(c.NotRun)
+	t.unknown.Set(c.Unknown)
 }
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -20,8 +20,8 @@
 // peerLink is the connection to one entry, identified by address.
 type peerLink struct {
 	client           *wire.Client
-	registryRevision uint64 // of its registry and table, as last reported
-	tableRevision    uint64
+	registryRevision uint64        // of its registry, as last reported
+	tableRevision    uint64        // of its table, as last reported
 	stamp            time.Duration // from its last message
 	stampReceivedAt  time.Time
 }
@@ -107,7 +107,7 @@
 }
 
 // peersToCall returns the addresses of the peers that this entry has to call
-// now.
+// now: all of them if urgent is set.
 func (e *Entry) peersToCall(urgent bool) []string {
 	addrs, _ := callCore(context.Background(), e, func(now time.Time) (addrs []string) {
 		listed := make(map[string]bool)
@@ -138,7 +138,8 @@
 	return e.clock.Now().Sub(e.startedAt)
 }
 
-// callPeer exchanges updates with one entry.
+// callPeer exchanges updates with one entry. If leaving is set, it also says that
+// this entry ends now.
 func (e *Entry) callPeer(address string, leaving bool) {
 	l := e.peers.link(e, address)
 	peerRevision, peerTable := e.peers.knownRevisions(l)
@@ -202,7 +203,7 @@
 		e.core.leavingSince[args.Entry.ID] = now
 	}
 	_, listed := reg.Entry(args.Entry.ID)
-	if _, left := e.core.leavingSince[args.Entry.ID]; !listed && !left {
+	if _, leaving := e.core.leavingSince[args.Entry.ID]; !listed && !leaving {
 		e.queueChange(member.AddEntry{Entry: args.Entry})
 	}
 }
--- a/entry/submit.go
+++ b/entry/submit.go
@@ -55,23 +55,23 @@
 func (e *Entry) resolve(ctx context.Context, s submission) (ans job.Answer, err error) {
 	defer func() { err = errors.Annotatef(err, "running job %s", s.spec.Key) }()
 	s.deadlineAt = e.clock.Now().Add(s.spec.Deadline)
-	holder := e.homeFor(&s)
+	next := e.homeFor(&s)
 	for range maxHops {
 		if _, ok := s.remaining(e.clock.Now()); !ok {
 			break
 		}
-		if holder.ID != e.id {
-			rep, err := e.forward(ctx, holder, &s)
+		if next.ID != e.id {
+			rep, err := e.forward(ctx, next, &s)
 			switch {
 			case ctx.Err() != nil:
 				return job.Answer{}, ctx.Err()
 			case err != nil:
-				s.recordFailure(holder, !errors.Is(err, wire.ErrNotSent))
-				holder = e.homeFor(&s)
+				s.recordFailure(next, !errors.Is(err, wire.ErrNotSent))
+				next = e.homeFor(&s)
 				continue
 			case rep.Refused != nil && acceptableElsewhere(rep.Refused.Code):
-				s.recordFailure(holder, false)
-				holder = e.homeFor(&s)
+				s.recordFailure(next, false)
+				next = e.homeFor(&s)
 				continue
 			case rep.Refused != nil:
 				return job.Answer{}, rep.Refused
@@ -86,7 +86,7 @@
 		if err != nil || out.answer != nil {
 			return orZero(out.answer), err
 		}
-		holder = e.entryByID(out.holder)
+		next = e.entryByID(out.holder)
 		s.mustClaim = true
 	}
 	return e.unresolvedAnswer(&s), nil
--- a/entry/sweep.go
+++ b/entry/sweep.go
@@ -60,8 +60,9 @@
 	return e.core.members.Registry().Responsible(e.id, service)
 }
 
-// pushUpdates sends newer table rows, and the revision that lists them, to the
-// agents that this entry is responsible for. It runs in the core loop.
+// pushUpdates sends newer table rows, and the registry revision that first listed
+// an agent, to those agents of this entry's responsibility that lack them. It
+// runs in the core loop.
 func (e *Entry) pushUpdates() {
 	reg := e.core.members.Registry()
 	for id, l := range e.core.agents {
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -45,7 +45,7 @@
 // isWatcher reports whether this entry watches the key-value service: it is the
 // first of its data centre that is in contact, or not listed yet.
 func (e *Entry) isWatcher() bool {
-	yes, err := callCore(context.Background(), e, func(now time.Time) bool {
+	shouldWatch, err := callCore(context.Background(), e, func(now time.Time) bool {
 		contactTimeout := contactTimeoutIntervals * e.cfg.Policy.PeerInterval.D()
 		reg := e.core.members.Registry()
 		if _, listed := reg.Entry(e.id); !listed {
@@ -59,7 +59,7 @@
 		}
 		return true
 	})
-	return err == nil && yes
+	return err == nil && shouldWatch
 }
 
 func (e *Entry) watchOnce(after uint64) (rev uint64, err error) {
