--- a/member/member_test.go
+++ b/member/member_test.go
@@ -50,16 +50,16 @@
 func TestHomeRunsWithoutClaimOnceSettled(t *testing.T) {
 	v, now := settledView()
 	if v.MustClaim(now, nameWithHome(*v.Registry(), "e1")) {
-		t.Error("the home must claim its own job although it is settled")
+		t.Error("MustClaim is true for a job of this home although it is settled")
 	}
 	if !v.MustClaim(now, nameWithHome(*v.Registry(), "e2")) {
-		t.Error("an entry that is not the home need not claim")
+		t.Error("MustClaim is false for a job whose home is another entry")
 	}
 	joined := member.NewView("e1", window, contactTimeout, now)
 	joined.Update(now, registryOf(1, "e1", "e2"))
 	joined.Confirm(now, "e2", joined.Registry().EntriesHash())
 	if !joined.MustClaim(now, nameWithHome(*v.Registry(), "e1")) || !joined.Introduced(now) {
-		t.Error("an entry that just joined need not claim, or is not known to all")
+		t.Error("MustClaim is false for an entry that just joined, or it is not known to all")
 	}
 }
 
@@ -70,13 +70,13 @@
 	after := registryOf(2, "e1")
 	v.Update(now, after)
 	if !v.MustClaim(now, moved) {
-		t.Error("a key of the removed entry need not be claimed")
+		t.Error("MustClaim is false for a key of the removed entry")
 	}
 	if v.MustClaim(now, nameWithHome(before, "e1")) {
-		t.Error("a key that did not move must be claimed")
+		t.Error("MustClaim is true for a key that did not move")
 	}
 	if now = now.Add(window + time.Second); v.MustClaim(now, moved) {
-		t.Error("a moved key must be claimed for longer than a window")
+		t.Error("MustClaim is true for a moved key after more than a window")
 	}
 }
 
