--- a/schedule/admit.go
+++ b/schedule/admit.go
@@ -96,6 +96,7 @@
 
 // rejectHopeless sheds load: it rejects waiting jobs that can no longer end in time.
 // A job that has had a task sent is answered as unknown instead once its time is over.
+// A job that only lacks workers waits for them until its objective.
 func (c *Core) rejectHopeless(now time.Time) {
 	capacities := make(map[string]*serviceCapacity)
 	for i := 0; i < len(c.waiting); i++ {
--- a/schedule/core.go
+++ b/schedule/core.go
@@ -61,10 +61,10 @@
 	agentNames     []string // of targets, sorted, so that decisions do not depend on map order
 	jobs           map[string]*job
 	waiting        []*job // have tasks to place; in the order in which they are served
-	queued         int    // waiting tasks
+	queued         int    // pending tasks of all jobs
 	outcomes       map[string]work.Outcome
 	outcomeOrder   []string         // keys of outcomes, oldest first
-	sentJobs       map[string]bool  // jobs that were closed without a result after a task of them was sent
+	sentJobs       map[string]bool  // jobs that were answered without a result after a task of them was sent
 	sentOrder      []string         // keys of sentJobs, oldest first
 	biases         map[string]*bias // by queue
 	startupUntil   time.Time        // until then more workers are expected to make contact
@@ -136,8 +136,9 @@
 	return counts
 }
 
-// Submit adds a job, unless it is known. Take returns its outcome, maybe at once.
-func (c *Core) Submit(now time.Time, w work.Job, firstRun int) {
+// Submit adds a job, unless it is known. Take returns its outcome, maybe at once. The
+// runs of each task are numbered from runNumberBase+1.
+func (c *Core) Submit(now time.Time, w work.Job, runNumberBase int) {
 	if out, ok := c.outcomes[w.ID]; ok {
 		c.decisions.Outcomes = append(c.decisions.Outcomes, Ending{w.ID, out})
 		return
@@ -146,7 +147,7 @@
 		c.reattach(now, j)
 		return
 	}
-	j := newJob(now, w, firstRun)
+	j := newJob(now, w, runNumberBase)
 	j.cutoff = c.cutoff(j)
 	if end := now.Add(w.Left); end.Before(j.cutoff) {
 		j.cutoff = end
--- a/schedule/end.go
+++ b/schedule/end.go
@@ -12,7 +12,7 @@
 	quarantineFailures = 2 // consecutive failed or stalled runs
 	quarantineTime     = 1500 * time.Millisecond
 	unwellBackoff      = 200 * time.Millisecond // a worker that refuses all starts
-	noRoomBackoff      = 15 * time.Millisecond  // resources are used in a way not known here
+	noRoomBackoff      = 15 * time.Millisecond  // a worker that uses resources in a way that the home does not know
 )
 
 // applyEvent records the end of a run and decides what follows from it.
@@ -52,7 +52,7 @@
 		c.backOff(now, t, e)
 		c.restartTask(now, t, j, slot, index, e.End)
 	case e.End == work.Done:
-		t.normalRuns.add(now, e.Took, tk.expected)
+		t.normalEnds.add(now, e.Took, tk.expected)
 		c.recordRunTime(t, j, slot, e.Took)
 		c.finishTask(now, j, slot, index)
 	case e.End == work.Failed:
@@ -66,7 +66,7 @@
 
 func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// finishTask marks a task as done, and closes its job if it was the last one.
+// finishTask marks a task as done, and answers its job if it was the last one.
 func (c *Core) finishTask(now time.Time, j *job, slot, index int) {
 	j.tasks[slot][index].state = done
 	j.unfinished[slot]--
--- a/schedule/job.go
+++ b/schedule/job.go
@@ -57,7 +57,7 @@
 	stopping   bool
 }
 
-func newJob(now time.Time, w work.Job, firstRun int) *job {
+func newJob(now time.Time, w work.Job, runNumberBase int) *job {
 	j := &job{Job: w, receivedAt: now.Add(-w.Age), tasks: make([][]task, w.Slots()), unfinished: make([]int, w.Slots())}
 	j.objective = j.receivedAt.Add(w.Queue.Objective(w.Chain()))
 	j.minCPU = w.Steps[0].Room.CPU
@@ -66,7 +66,7 @@
 		j.tasks[i] = make([]task, w.Step(i).Count)
 		j.unfinished[i] = w.Step(i).Count
 		for k := range j.tasks[i] {
-			j.tasks[i][k].runNumber = firstRun
+			j.tasks[i][k].runNumber = runNumberBase
 		}
 	}
 	return j
@@ -74,7 +74,7 @@
 
 // stepReady reports whether all steps that slot i depends on are done.
 func (j *job) stepReady(i int) bool {
-	first := i - i%len(j.Steps) // slot of the occurrence
+	first := i - i%len(j.Steps) // first slot of the occurrence
 	for _, earlier := range j.Step(i).After {
 		if j.unfinished[first+earlier] > 0 {
 			return false
--- a/schedule/place.go
+++ b/schedule/place.go
@@ -91,8 +91,8 @@
 	return t.ready && !t.Draining && now.Sub(t.lastContact) <= contactTimeout
 }
 
-// maxFreeCPU returns the largest free CPU capacity of any worker. Under load it
-// lets placeWaiting skip jobs that fit nowhere.
+// maxFreeCPU returns the largest free CPU capacity of any worker. Under load
+// placeWaiting skips jobs that fit nowhere by it.
 func maxFreeCPU(open []*target) int {
 	maxFree := 0
 	for _, t := range open {
--- a/schedule/place_test.go
+++ b/schedule/place_test.go
@@ -16,7 +16,7 @@
 	h.submit(job("urgent", 0, 1, 60*time.Millisecond))
 	h.endRun("a", h.starts["a"][0], work.Done, 60*time.Millisecond)
 	if got := h.starts["a"][1].Task.Job; got != "urgent" {
-		t.Errorf("%s was started first", got)
+		t.Errorf("%s was started first, want urgent", got)
 	}
 }
 
--- a/schedule/report.go
+++ b/schedule/report.go
@@ -69,7 +69,7 @@
 	}
 	if t.Born != r.Target.Born {
 		t.slowdown = 1
-		t.logSlowness, t.consecutiveFailures = movingMean{n: min(r.Pace.Runs, speedWindow), value: r.Pace.Log}, 0
+		t.logSlowness, t.consecutiveFailures = movingMean{n: min(r.Pace.Runs, slownessWindow), value: r.Pace.Log}, 0
 		t.updateSlowness()
 	}
 	changed := r.Ready != t.ready || r.Target.Born != t.Born || r.Others != t.usedByOthers || now.Sub(t.lastContact) > c.cfg.Suspect
--- a/schedule/slowness.go
+++ b/schedule/slowness.go
@@ -17,16 +17,17 @@
 }
 
 const (
-	speedWindow = 40 // runs; the estimates of single runs are wrong by 40%
-	biasWindow  = 300
-	kindWeight  = 4 // runs that the mean of a worker's kind counts for
+	slownessWindow = 40  // runs in the mean of a worker; the estimates of single runs are wrong by 40%
+	biasWindow     = 300 // runs in the mean of a queue
+	kindWeight     = 4   // the mean of a worker's kind weighs as much as this many runs
 )
 
-// slowness returns the run time on a worker as a multiple of that on a worker of
-// slowness 1. A worker with few runs so far counts like the others of its kind.
+// slowness returns the current run time on the worker as a multiple of the estimate,
+// which is corrected by the bias of the queue and by distanceFactor.
 func (t *target) slowness() float64 { return t.baseSlowness * t.slowdown }
 
 // updateSlowness computes the base slowness from the worker's own runs and its kind.
+// A worker with few runs so far counts like the others of its kind.
 func (t *target) updateSlowness() {
 	weight := float64(t.logSlowness.n) / float64(t.logSlowness.n+kindWeight)
 	t.baseSlowness = math.Exp(t.logSlowness.value*weight + t.kindSlowness*(1-weight))
@@ -69,13 +70,13 @@
 	}
 	ratio := math.Log(float64(took) / float64(est) / c.distanceFactor(j.Step(slot), t) / t.slowdown)
 	b := c.queueBias(j.Queue.Name)
-	t.logSlowness.add(ratio-b.value, speedWindow)
+	t.logSlowness.add(ratio-b.value, slownessWindow)
 	t.updateSlowness()
 	b.add(ratio-t.logSlowness.value, biasWindow)
 	b.runTimeFactor = math.Exp(b.value)
 }
 
-// bias is the mean error of a queue's estimates, as a log of the ratio.
+// bias is the mean error of a queue's estimates, as the log of run time over estimate.
 type bias struct {
 	movingMean
 	runTimeFactor float64 // run time over estimate on a worker of slowness 1
--- a/schedule/stored.go
+++ b/schedule/stored.go
@@ -87,12 +87,12 @@
 }
 
 // Restore adds a stored job from the ledger, with its finished tasks by slot and its
-// failed runs by task.
-func (c *Core) Restore(now time.Time, w work.Job, firstRun int, finished [][]int, failures map[work.TaskRef]int) {
+// failed runs by task. New runs of each task are numbered from runNumberBase+1.
+func (c *Core) Restore(now time.Time, w work.Job, runNumberBase int, finished [][]int, failures map[work.TaskRef]int) {
 	if _, ok := c.jobs[w.ID]; ok {
 		return
 	}
-	j := newJob(now, w, firstRun)
+	j := newJob(now, w, runNumberBase)
 	j.cutoff = c.cutoff(j)
 	for slot, indices := range finished {
 		for _, i := range indices {
@@ -171,8 +171,8 @@
 	t.uncommitted = append(t.uncommitted, e.Seq)
 }
 
-// leaveToHolder leaves the end of a run of a stored job to the holder of the ledger,
-// unless this home is the holder.
+// leaveToHolder has the agent retain the end of a run of a stored job for the holder of
+// the ledger, unless this home is the holder.
 func (c *Core) leaveToHolder(t *target, e *Event) {
 	if e.Stored && t.confirmedEpoch == 0 {
 		t.uncommitted = append(t.uncommitted, e.Seq)
--- a/schedule/stored_test.go
+++ b/schedule/stored_test.go
@@ -113,11 +113,11 @@
 	h.restore("j", 1)
 	h.confirm("a", 1, nil, schedule.Event{Run: h.starts["a"][0], End: work.Done})
 	if got := h.c.Acked("a"); got != 0 {
-		t.Fatalf("acknowledged %d before it was committed", got)
+		t.Fatalf("acknowledged %d before the end was committed, want 0", got)
 	}
 	h.c.Saved("a", "1", 1)
 	if got := h.c.Acked("a"); got != 1 {
-		t.Errorf("acknowledged %d after it was committed", got)
+		t.Errorf("acknowledged %d after the end was committed, want 1", got)
 	}
 }
 
@@ -130,11 +130,11 @@
 	h.setTenure(0)
 	h.confirm("a", 1, nil, schedule.Event{Run: h.starts["a"][1], End: work.Done})
 	if got := h.c.Acked("a"); got != 0 {
-		t.Fatalf("acknowledged %d without a tenure", got)
+		t.Fatalf("acknowledged %d without a tenure, want 0", got)
 	}
 	h.confirm("a", 2, nil)
 	if got := h.c.Acked("a"); got != 2 {
-		t.Errorf("acknowledged %d after the agent had a later home", got)
+		t.Errorf("acknowledged %d after the agent had a later home, want 2", got)
 	}
 }
 
@@ -147,7 +147,7 @@
 	h.restore("young", 1)
 	h.confirm("a", 1, nil, schedule.Event{Run: h.starts["a"][0], End: work.Done})
 	if got := h.starts["a"][len(h.starts["a"])-1].Task.Job; got != "young" {
-		t.Errorf("%s started first", got)
+		t.Errorf("%s started first, want young", got)
 	}
 	if _, rejected := h.outcomes["late"]; rejected {
 		t.Error("a stored job was rejected")
--- a/schedule/straggler.go
+++ b/schedule/straggler.go
@@ -14,9 +14,9 @@
 // end, its slots fill with tasks again and again. The progress of runs shows it after
 // some tens of milliseconds.
 
-// A worker counts as slow when runs of minSlowJobs jobs are slow there, and these are
-// at least half of all its mature runs and the runs that ended normally in
-// recentWindow. Without the latter, the remaining runs would mostly be those with
+// A worker counts as slow when runs of minSlowJobs jobs are slow there, and they are at
+// least half of the sum of its mature runs and the runs that ended normally within
+// recentWindow. The latter count because the runs that remain are mostly those with
 // wrong estimates. One job proves nothing: the estimates of its tasks are wrong together.
 const (
 	minSlowJobs  = 2
@@ -56,7 +56,7 @@
 			n++
 		}
 	}
-	if len(jobs) < minSlowJobs || 2*n < c.countMatureRuns(now, t)+t.normalRuns.countRecent(now) {
+	if len(jobs) < minSlowJobs || 2*n < c.countMatureRuns(now, t)+t.normalEnds.countRecent(now) {
 		return
 	}
 	slowdown := math.Exp(sum / float64(n))
--- a/schedule/target.go
+++ b/schedule/target.go
@@ -21,10 +21,10 @@
 	lastSeq             uint64     // of the last event received
 	baseSlowness        float64    // computed from logSlowness and kindSlowness
 	kindSlowness        float64    // mean of logSlowness over the workers of its kind
-	logSlowness         movingMean // log of run time over expected time on a worker of slowness 1
-	slowdown            float64    // current run time as a multiple of the usual; 1 if it is not slow
+	logSlowness         movingMean // mean log of run time over expected time on a worker of slowness 1
+	slowdown            float64    // temporary factor on baseSlowness; 1 if the worker is not slow
 	lastSlow            time.Time  // when slowdown was last observed
-	normalRuns          normalEnds // recent ends of runs that were not slow
+	normalEnds          normalEnds // recent ends of runs that were not slow
 	consecutiveFailures int        // runs that failed or stalled
 	backoffUntil        time.Time  // no task is placed before
 	confirmedEpoch      uint64     // of the tenure that the agent has confirmed; 0 for none
--- a/schedule/timed_test.go
+++ b/schedule/timed_test.go
@@ -42,7 +42,7 @@
 	h.advanceConfirmed(time.Second)
 	h.wantStarts("a", 2)
 	if r := h.starts["a"][1]; r.Task.Occurrence != 1 || r.Task.Step != 0 {
-		t.Errorf("second start %v", r)
+		t.Errorf("second start %v, want step 0 of occurrence 1", r)
 	}
 	h.confirm("a", 1, nil, schedule.Event{Run: h.starts["a"][1], End: work.Done})
 	h.wantOutcome("j", work.Completed)
@@ -74,13 +74,13 @@
 		h.confirm("a", 1, nil, schedule.Event{Run: h.starts["a"][i], End: end})
 	}
 	if _, ended := h.outcomes["j"]; ended || len(h.stops["a"]) != 0 {
-		t.Errorf("ended %t, stops %v", ended, h.stops)
+		t.Errorf("job ended: %t, stops %v; want neither", ended, h.stops)
 	}
 	h.advanceConfirmed(time.Minute)
 	h.c.Cancel(h.now, "j")
 	h.collect()
 	if len(h.stops["a"]) != 1 {
-		t.Errorf("stops after the cancellation: %v", h.stops)
+		t.Errorf("stops after the cancellation %v, want one at a", h.stops)
 	}
 }
 
@@ -125,6 +125,6 @@
 		Events: []schedule.Event{{Seq: 1, Run: h.starts["a"][0], End: work.Lapsed, Checkpoint: "c1", Stored: true}}})
 	decisions := h.c.Take()
 	if got := decisions.Starts["a"]; len(got) != 1 || got[0].Checkpoint != "c1" {
-		t.Errorf("starts %+v", got)
+		t.Errorf("starts %+v, want one from checkpoint c1", got)
 	}
 }
--- a/work/work.go
+++ b/work/work.go
@@ -3,9 +3,9 @@
 // # Model
 //
 // A queue of the operator's configuration names the service whose workers run
-// its jobs. A job consists of steps, a step of equal tasks. A task needs room,
-// which are resources on a worker, and runs there under a run number that rises
-// with each start of the task. A run ends as one of the values of End.
+// its jobs. A job consists of steps, a step of equal tasks. A task needs
+// resources on a worker (Room) and runs there under a run number that rises with
+// each start of the task. A run ends as one of the values of End.
 //
 // The steps of a timed job run several times; each time is an occurrence. A slot
 // is a step of one occurrence.
