--- a/health/tracker.go
+++ b/health/tracker.go
@@ -23,7 +23,7 @@
 	quarantineFailures = 5 // consecutive failures that start a quarantine
 	initialBackoff     = time.Second
 	maxBackoff         = 30 * time.Second
-	meanSmoothing      = 0.02
+	meanSmoothing      = 0.02 // least weight of a new run time in the mean
 )
 
 // Tracker follows one target. The zero Tracker is healthy.
--- a/health/tracker_test.go
+++ b/health/tracker_test.go
@@ -19,7 +19,7 @@
 	}
 	now = tr.NextProbe()
 	if !tr.Allows(now) {
-		t.Fatal("no probe is allowed after the pause")
+		t.Fatal("no probe is allowed after the backoff")
 	}
 	tr.Begin()
 	if tr.Allows(now) {
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -83,9 +83,9 @@
 		return
 	}
 	q.waiting += it.Waiting
-	if n := q.items[it.Key]; n != nil {
-		n.Waiting += it.Waiting
-		heap.Fix(&n.team.jobs, n.index)
+	if j := q.items[it.Key]; j != nil {
+		j.Waiting += it.Waiting
+		heap.Fix(&j.team.jobs, j.index)
 		return
 	}
 	t := q.team(it.Team)
@@ -94,9 +94,9 @@
 		t.virtualTime = max(t.virtualTime, q.virtualTime)
 	}
 	q.seq++
-	n := &waitingJob{Item: it, team: t, seq: q.seq}
-	q.items[it.Key] = n
-	heap.Push(&t.jobs, n)
+	j := &waitingJob{Item: it, team: t, seq: q.seq}
+	q.items[it.Key] = j
+	heap.Push(&t.jobs, j)
 }
 
 // LongestStreak reports whether a team is in the longest busy period: since it last
@@ -151,39 +151,39 @@
 
 // Take removes one waiting task of a job and charges its team for it.
 func (q *Queue) Take(k job.Key) {
-	n := q.items[k]
-	if n == nil {
+	j := q.items[k]
+	if j == nil {
 		return
 	}
-	q.virtualTime = max(q.virtualTime, n.team.virtualTime)
-	n.team.virtualTime += 1 / n.team.weight
-	n.team.busyPeriodTasks++
-	q.removeTasks(n, 1)
+	q.virtualTime = max(q.virtualTime, j.team.virtualTime)
+	j.team.virtualTime += 1 / j.team.weight
+	j.team.busyPeriodTasks++
+	q.removeTasks(j, 1)
 }
 
 // Remove removes all waiting tasks of a job and returns their number.
 func (q *Queue) Remove(k job.Key) int {
-	n := q.items[k]
-	if n == nil {
+	j := q.items[k]
+	if j == nil {
 		return 0
 	}
-	waiting := n.Waiting
-	q.removeTasks(n, waiting)
+	waiting := j.Waiting
+	q.removeTasks(j, waiting)
 	return waiting
 }
 
-func (q *Queue) removeTasks(n *waitingJob, count int) {
-	n.Waiting -= count
+func (q *Queue) removeTasks(j *waitingJob, count int) {
+	j.Waiting -= count
 	q.waiting -= count
-	if n.Waiting > 0 {
-		heap.Fix(&n.team.jobs, n.index)
+	if j.Waiting > 0 {
+		heap.Fix(&j.team.jobs, j.index)
 		return
 	}
-	heap.Remove(&n.team.jobs, n.index)
-	if len(n.team.jobs) == 0 {
-		n.team.busyPeriodTasks = 0
+	heap.Remove(&j.team.jobs, j.index)
+	if len(j.team.jobs) == 0 {
+		j.team.busyPeriodTasks = 0
 	}
-	delete(q.items, n.Key)
+	delete(q.items, j.Key)
 }
 
 // jobHeap is a heap of a team's jobs, the next one first.
@@ -208,15 +208,15 @@
 }
 
 func (h *jobHeap) Push(x any) {
-	n := x.(*waitingJob)
-	n.index = len(*h)
-	*h = append(*h, n)
+	j := x.(*waitingJob)
+	j.index = len(*h)
+	*h = append(*h, j)
 }
 
 func (h *jobHeap) Pop() any {
 	old := *h
-	n := old[len(old)-1]
+	j := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	return n
+	return j
 }
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -28,7 +28,7 @@
 	q.Push(queue.Item{Key: "a/1", Team: "a", Waiting: 900}, 1)
 	q.Push(queue.Item{Key: "b/1", Team: "b", Waiting: 900}, 3)
 	if got := take(&q, 400); got["a"] != 100 || got["b"] != 300 {
-		t.Errorf("shares are %v", got)
+		t.Errorf("shares are %v, want 100 for a and 300 for b", got)
 	}
 }
 
@@ -38,7 +38,7 @@
 	take(&q, 200)
 	q.Push(queue.Item{Key: "b/1", Team: "b", Waiting: 500}, 1)
 	if got := take(&q, 100); got["b"] > 51 {
-		t.Errorf("the team that was idle got %d of 100", got["b"])
+		t.Errorf("the team that was idle got %d of 100, want at most 51", got["b"])
 	}
 }
 
@@ -66,6 +66,6 @@
 	q.Push(queue.Item{Key: "b/1", Team: "b", Waiting: 1}, 1)
 	it, ok := q.Next(func(team string) bool { return team != "a" })
 	if !ok || it.Team != "b" {
-		t.Errorf("got %+v", it)
+		t.Errorf("next is %+v, want a task of team b", it)
 	}
 }
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -86,22 +86,22 @@
 		loans = make(map[string]*loan)
 		l.teams[team] = loans
 	}
-	mine := loans[entry]
-	if mine == nil {
-		mine = &loan{}
-		loans[entry] = mine
+	entryLoan := loans[entry]
+	if entryLoan == nil {
+		entryLoan = &loan{}
+		loans[entry] = entryLoan
 	}
 	base := Base(n.Limit, n.Entries)
-	mine.wanted, mine.lastReport = max(0, n.Want-base), now
+	entryLoan.wanted, entryLoan.lastReport = max(0, n.Want-base), now
 	pool := max(0, n.Limit-base*n.Entries)
 	available := pool
-	for id, ln := range loans {
+	for id, other := range loans {
 		if id != entry {
-			available -= ln.reserved(now)
+			available -= other.reserved(now)
 		}
 	}
-	amount := max(0, min(mine.wanted, fairShare(now, loans, entry, pool), available))
-	mine.addGrant(now, amount)
+	amount := max(0, min(entryLoan.wanted, fairShare(now, loans, entry, pool), available))
+	entryLoan.addGrant(now, amount)
 	return amount
 }
 
@@ -123,15 +123,15 @@
 		}
 	}
 	slices.Sort(wants)
-	left := len(wants) + 1
+	sharers := len(wants) + 1
 	for _, w := range wants {
-		if w > pool/left {
+		if w > pool/sharers {
 			break
 		}
 		pool -= w
-		left--
+		sharers--
 	}
-	return pool / left
+	return pool / sharers
 }
 
 // Holder keeps the grants that one entry has received. The zero Holder is ready.
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -54,13 +54,13 @@
 		t.Errorf("lent %d, want all but the bases, 36", got)
 	}
 	if got := l.Lend(now, "laval", "e2", need); got != 0 {
-		t.Errorf("lent %d of what another entry may still use", got)
+		t.Errorf("lent %d of what another entry may still use, want 0", got)
 	}
 	now = now.Add(quota.Hold / 2)
 	if got := l.Lend(now, "laval", "e1", need); got != 18 {
 		t.Errorf("lent %d, want half, 18", got)
 	}
-	now = now.Add(quota.Hold/2 + time.Second) // the first, larger loan has ended
+	now = now.Add(quota.Hold/2 + time.Second) // the first, larger grant has ended
 	if got := l.Lend(now, "laval", "e2", need); got != 18 {
 		t.Errorf("lent %d, want the other half, 18", got)
 	}
