--- a/dispatch/agents.go
+++ b/dispatch/agents.go
@@ -137,8 +137,8 @@
 }
 
 // creditsToReturn returns how many of the idle credits to return on a recall:
-// all, or only half if AskGain is set. It is set for many small jobs, so that
-// more of them are about to come.
+// all, or only half if AskGain is set. It is set where many small jobs are
+// submitted, so more of them are likely to come soon.
 func (c *Core) creditsToReturn(idle int) int {
 	if c.cfg.AskGain > 0 {
 		return (idle + 1) / 2
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -50,7 +50,7 @@
 	SealRetry    time.Duration // first interval between seals of an attempt
 	StampLife    time.Duration // age at which agents refuse a stamp
 	AskThreshold int           // number of waiting tasks from which the Core asks for credits
-	AskGain      float64       // ask a faster agent if its cost is below this share of the best cost; 0 for never
+	AskGain      float64       // ask a faster agent if its cost is below this share of the chosen agent's; 0 for never
 	FarPenalty   time.Duration // added to the cost of an agent in another data centre
 	AskPause     time.Duration // interval between requests for credits
 	MaxWaiting   int           // most waiting tasks of one service
@@ -183,7 +183,7 @@
 	runTimes     health.Tracker
 	lastSuccess  map[string]time.Time // by agent
 	lastAsk      time.Time
-	fastestFirst []*agent // agents by cost, as of rankedAt
+	agentsByCost []*agent // as of rankedAt
 	rankedAt     time.Time
 }
 
@@ -227,11 +227,11 @@
 	state        job.State
 	attempt      uint64
 	agent        string
-	unclearSince time.Time // start of the time without a known outcome; zero if it is known
+	unclearSince time.Time // start of the wait for a proof, reset by each report that the task runs; zero if none is needed
 	backoff      time.Duration
 	epoch        uint64 // of the credit that the attempt uses
 	requeues     int    // attempts that proved not to have started
-	rerun        bool   // named after this submission, since it may run again
+	rerun        bool   // its ID names this submission, since the task may run twice
 	adopted      bool   // started under an earlier claim or submission
 	result       []byte
 	err          string
--- a/dispatch/promises_test.go
+++ b/dispatch/promises_test.go
@@ -237,9 +237,9 @@
 
 // decision changes the decision of the gate.
 func (r omittedRule) decision(a *simAgent, d *gate.Dispatch, dec gate.Decision) gate.Decision {
-	again := r.name == "record" && dec.Verdict == gate.Recorded && d.Agent == a.id
-	held := r.name == "marker" && dec.Verdict == gate.Held
-	if again || held {
+	ignoresRecord := r.name == "record" && dec.Verdict == gate.Recorded && d.Agent == a.id
+	ignoresMarker := r.name == "marker" && dec.Verdict == gate.Held
+	if ignoresRecord || ignoresMarker {
 		return gate.Decision{Verdict: gate.Start}
 	}
 	return dec
--- a/dispatch/schedule.go
+++ b/dispatch/schedule.go
@@ -118,7 +118,7 @@
 	return a.status.Listed > 0 && a.status.Listed <= c.registry.Revision
 }
 
-// parkJob takes a job out of the queue that no agent with credits may take now:
+// parkJob takes out of the queue a job that no agent with credits may take now:
 // to claim it, if that makes an agent with credits eligible, or to wait, if no
 // agent of the service is eligible at all. It reports whether it did so.
 func (c *Core) parkJob(now time.Time, s *service, j *activeJob) bool {
@@ -276,8 +276,8 @@
 func (c *Core) agentToAsk(now time.Time, s *service) *agent {
 	var best *agent
 	for _, a := range s.agents {
-		current := now.Sub(a.stampReceived) < idleMaxAge && s.running > 0
-		if a.askPending || !c.acceptsWork(now, a) || (current && a.status.Idle == 0) {
+		idleIsCurrent := now.Sub(a.stampReceived) < idleMaxAge && s.running > 0
+		if a.askPending || !c.acceptsWork(now, a) || (idleIsCurrent && a.status.Idle == 0) {
 			continue
 		}
 		if best == nil || a.status.Idle > best.status.Idle {
--- a/dispatch/seal.go
+++ b/dispatch/seal.go
@@ -56,13 +56,13 @@
 	if t.originEntry != "" {
 		entry, attempt = t.originEntry, t.originAttempt
 	}
-	at, ok := c.sealIndex[t.agent+" "+entry]
+	index, ok := c.sealIndex[t.agent+" "+entry]
 	if !ok {
-		at = len(c.actions.Seals)
-		c.sealIndex[t.agent+" "+entry] = at
+		index = len(c.actions.Seals)
+		c.sealIndex[t.agent+" "+entry] = index
 		c.actions.Seals = append(c.actions.Seals, SentSeal{Seal: gate.Seal{Entry: entry, Agent: t.agent}})
 	}
-	s := &c.actions.Seals[at]
+	s := &c.actions.Seals[index]
 	s.Seal.Items = append(s.Seal.Items, gate.SealItem{Task: j.taskID(i), Attempt: attempt, Epoch: t.epoch})
 	s.Attempts = append(s.Attempts, t.attempt)
 }
--- a/dispatch/usage.go
+++ b/dispatch/usage.go
@@ -28,10 +28,10 @@
 // recentPeak returns the most tasks that the team has run at once in the current
 // period and the one before.
 func (u *usage) recentPeak(now time.Time) int {
-	switch idle := now.Sub(u.periodStartedAt); {
-	case idle >= 2*usagePeriod:
+	switch age := now.Sub(u.periodStartedAt); {
+	case age >= 2*usagePeriod:
 		return u.running
-	case idle >= usagePeriod:
+	case age >= usagePeriod:
 		return u.peak
 	}
 	return max(u.peak, u.previousPeak)
@@ -69,7 +69,7 @@
 
 // reserveForOthers reserves the fastest slots of s for the other teams, as many
 // as they have used recently, if the team has a limit and has been served
-// without a break for longer than any other. Otherwise its flood of tasks would
+// more tasks without a break than any other. Otherwise its flood of tasks would
 // hold all fast targets and leave the slow ones to teams that submit now and
 // then. It reports whether it reserved slots.
 func (c *Core) reserveForOthers(now time.Time, s *service, team string) bool {
@@ -85,7 +85,7 @@
 	if others == 0 {
 		return false
 	}
-	for _, a := range c.bySpeed(now, s) {
+	for _, a := range c.rankAgents(now, s) {
 		a.reserved = min(a.status.Slots, others)
 		others -= a.reserved
 	}
@@ -95,13 +95,13 @@
 // rankInterval is how long the order of the agents by cost is reused.
 const rankInterval = time.Second
 
-// bySpeed returns the agents of s in the order of their cost, the lowest first.
-func (c *Core) bySpeed(now time.Time, s *service) []*agent {
-	if now.Sub(s.rankedAt) < rankInterval && len(s.fastestFirst) == len(s.agents) {
-		return s.fastestFirst
+// rankAgents returns the agents of s in the order of their cost, the lowest first.
+func (c *Core) rankAgents(now time.Time, s *service) []*agent {
+	if now.Sub(s.rankedAt) < rankInterval && len(s.agentsByCost) == len(s.agents) {
+		return s.agentsByCost
 	}
 	s.rankedAt = now
-	s.fastestFirst = slices.Clone(s.agents)
-	slices.SortStableFunc(s.fastestFirst, func(a, b *agent) int { return cmp.Compare(c.cost(s, a), c.cost(s, b)) })
-	return s.fastestFirst
+	s.agentsByCost = slices.Clone(s.agents)
+	slices.SortStableFunc(s.agentsByCost, func(a, b *agent) int { return cmp.Compare(c.cost(s, a), c.cost(s, b)) })
+	return s.agentsByCost
 }
