--- a/schedule/slowness.go
+++ b/schedule/slowness.go
@@ -23,7 +23,8 @@
 )
 
 // slowness returns the current run time on the worker as a multiple of the estimate,
-// which is corrected by the bias of the queue and by distanceFactor.
+// which is corrected by the bias of the queue and by distanceFactor. A worker of
+// slowness 1 takes as long as that.
 func (t *target) slowness() float64 { return t.baseSlowness * t.slowdown }
 
 // updateSlowness computes the base slowness from the worker's own runs and its kind.
