--- a/dispatch/usage.go
+++ b/dispatch/usage.go
@@ -73,7 +73,7 @@
 // hold all fast targets and leave the slow ones to teams that submit now and
 // then. It reports whether it reserved slots.
 func (c *Core) reserveForOthers(now time.Time, s *service, team string) bool {
-	if !c.limits.Teams[team].Limited || !s.queue.LongestStreak(team) {
+	if !c.limits.Teams[team].Limited || !s.queue.InLongestBusyPeriod(team) {
 		return false
 	}
 	others := 0
--- a/failure/limit_test.go
+++ b/failure/limit_test.go
@@ -106,7 +106,7 @@
 				})
 				for _, limit := range []int{9, 4} {
 					s.setLimit(limit)
-					time.Sleep(limitApplyTime + 2*quota.Hold)
+					time.Sleep(limitApplyTime + 2*quota.ReservationTerm)
 					s.gauge.checkLimit(t)
 					s.gauge.checkUsed(t, len(s.entries))
 				}
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -99,9 +99,9 @@
 	heap.Push(&t.jobs, j)
 }
 
-// LongestStreak reports whether a team is in the longest busy period: since it last
+// InLongestBusyPeriod reports whether a team is in the longest busy period: since it last
 // had no waiting task, more of its tasks have been taken than of any other team.
-func (q *Queue) LongestStreak(name string) bool {
+func (q *Queue) InLongestBusyPeriod(name string) bool {
 	t := q.teams[name]
 	if t == nil {
 		return false
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -35,8 +35,8 @@
 // GrantTerm is how long a grant may be used after it arrived. The lender reserves it
 // for ReservationTerm after sending it, which covers the longest delay of a message.
 const (
-	GrantTerm = 4 * time.Second
-	Hold      = GrantTerm + 3*time.Second
+	GrantTerm       = 4 * time.Second
+	ReservationTerm = GrantTerm + 3*time.Second
 )
 
 // Base returns the number of tasks that each entry may always use.
@@ -110,7 +110,7 @@
 	for n := len(l.grants); n > 0 && l.grants[n-1].amount <= amount; n-- {
 		l.grants = l.grants[:n-1]
 	}
-	l.grants = append(l.grants, grant{amount: amount, until: now.Add(Hold)})
+	l.grants = append(l.grants, grant{amount: amount, until: now.Add(ReservationTerm)})
 }
 
 // fairShare returns the max-min fair share of an entry: the pool is divided evenly
@@ -118,7 +118,7 @@
 func fairShare(now time.Time, loans map[string]*loan, entry string, pool int) int {
 	var wants []int
 	for id, ln := range loans {
-		if id != entry && now.Sub(ln.lastReport) < Hold && ln.wanted > 0 {
+		if id != entry && now.Sub(ln.lastReport) < ReservationTerm && ln.wanted > 0 {
 			wants = append(wants, ln.wanted)
 		}
 	}
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -56,11 +56,11 @@
 	if got := l.Lend(now, "laval", "e2", need); got != 0 {
 		t.Errorf("lent %d of what another entry may still use, want 0", got)
 	}
-	now = now.Add(quota.Hold / 2)
+	now = now.Add(quota.ReservationTerm / 2)
 	if got := l.Lend(now, "laval", "e1", need); got != 18 {
 		t.Errorf("lent %d, want half, 18", got)
 	}
-	now = now.Add(quota.Hold/2 + time.Second) // the first, larger grant has ended
+	now = now.Add(quota.ReservationTerm/2 + time.Second) // the first, larger grant has ended
 	if got := l.Lend(now, "laval", "e2", need); got != 18 {
 		t.Errorf("lent %d, want the other half, 18", got)
 	}
@@ -85,7 +85,7 @@
 	busy := quota.Need{Want: 100, Limit: 40, Entries: 4}
 	idle := quota.Need{Limit: 40, Entries: 4}
 	l.Lend(now, "laval", "e1", busy)
-	for end := now.Add(quota.Hold); now.Before(end); now = now.Add(quota.Hold / 10) {
+	for end := now.Add(quota.ReservationTerm); now.Before(end); now = now.Add(quota.ReservationTerm / 10) {
 		l.Lend(now, "laval", "e1", idle)
 		l.Lend(now, "laval", "e2", busy)
 	}
--- a/schedule/admit.go
+++ b/schedule/admit.go
@@ -119,7 +119,7 @@
 // reject answers a job that has had no task sent to an agent since its submission.
 // If tasks were sent after an earlier submission of the job, its outcome is unknown.
 func (c *Core) reject(now time.Time, j *job, reason string, retry time.Duration) {
-	c.addNote(Note{Job: j.ID, What: "rejected", Why: reason, Values: map[string]float64{
+	c.addNote(Note{Job: j.ID, Kind: "rejected", Reason: reason, Values: map[string]float64{
 		"waitedMs": ms(now.Sub(j.receivedAt)), "queuedTasks": float64(c.queued), "retryMs": ms(retry), "cutoffMs": ms(j.cutoff.Sub(now)),
 	}})
 	out := work.Outcome{State: work.Rejected, Reason: reason, RetryAfter: retry}
--- a/schedule/answer.go
+++ b/schedule/answer.go
@@ -12,7 +12,7 @@
 	j.answered = true
 	c.dequeue(j)
 	c.noteOutcome(j, out)
-	c.decisions.Outcomes = append(c.decisions.Outcomes, Ending{j.ID, out})
+	c.decisions.Outcomes = append(c.decisions.Outcomes, JobOutcome{j.ID, out})
 	switch {
 	case j.Stored:
 		// The ledger keeps the outcome.
@@ -29,7 +29,7 @@
 	if !j.wasSent {
 		return // a rejection has its own note
 	}
-	c.addNote(Note{Job: j.ID, Agent: j.lastRun.agent, What: "jobEnded", Why: string(out.State) + " " + out.Reason, Values: map[string]float64{
+	c.addNote(Note{Job: j.ID, Agent: j.lastRun.agent, Kind: "jobEnded", Reason: string(out.State) + " " + out.Reason, Values: map[string]float64{
 		"firstStartMs": ms(j.firstPlacedAt.Sub(j.receivedAt)), "objectiveMs": ms(j.objective.Sub(j.receivedAt)), "tasks": float64(j.Tasks()),
 		"lastWaitMs": ms(j.lastRun.wait), "lastRunMs": ms(j.lastRun.took), "lastExpectedMs": ms(j.lastRun.expected), "repeated": float64(j.requeues),
 	}})
@@ -46,7 +46,7 @@
 
 // rememberOutcome keeps an outcome for callers that submit the job again.
 func (c *Core) rememberOutcome(id string, out work.Outcome) {
-	if len(c.outcomeOrder) >= c.cfg.Remember {
+	if len(c.outcomeOrder) >= c.cfg.MaxRemembered {
 		delete(c.outcomes, c.outcomeOrder[0])
 		c.outcomeOrder = c.outcomeOrder[1:]
 	}
@@ -60,7 +60,7 @@
 	if !j.wasSent || c.sentJobs[j.ID] {
 		return
 	}
-	if len(c.sentOrder) >= c.cfg.Remember {
+	if len(c.sentOrder) >= c.cfg.MaxRemembered {
 		delete(c.sentJobs, c.sentOrder[0])
 		c.sentOrder = c.sentOrder[1:]
 	}
--- a/schedule/core.go
+++ b/schedule/core.go
@@ -42,16 +42,16 @@
 
 // Config holds the limits of a Core.
 type Config struct {
-	Suspect time.Duration // time without contact after which an agent gets no new task
-	// SuspectIdle is the same for an agent without tasks, which is polled less often.
-	SuspectIdle time.Duration
-	Lost        time.Duration // time without contact after which an agent's runs have ended
-	LostHeld    time.Duration // the same for runs of stored jobs
-	Far         float64       // run time of a task away from its data, as a multiple of that near it; at least 1
-	Late        float64       // multiple of the objective after which a job's end is of no use
-	Margin      time.Duration // time for the messages that start a run and report its end
-	Remember    int           // number of outcomes kept for callers that submit a job again
-	MaxQueued   int           // waiting tasks beyond which new jobs are rejected
+	SuspectAfter time.Duration // time without contact after which an agent gets no new task
+	// SuspectIdleAfter is the same for an agent without tasks, which is polled less often.
+	SuspectIdleAfter    time.Duration
+	RunsLostAfter       time.Duration // time without contact after which an agent's runs have ended
+	StoredRunsLostAfter time.Duration // the same for runs of stored jobs
+	RemoteFactor        float64       // run time of a task away from its data, as a multiple of that near it; at least 1
+	CutoffFactor        float64       // multiple of the objective after which a job's end is of no use
+	Margin              time.Duration // time for the messages that start a run and report its end
+	MaxRemembered       int           // number of outcomes kept for callers that submit a job again
+	MaxQueued           int           // waiting tasks beyond which new jobs are rejected
 }
 
 // Core is the state of a home. NewCore makes one.
@@ -87,13 +87,13 @@
 type Decisions struct {
 	Starts   map[string][]work.Start // by agent
 	Stops    map[string][]work.Run   // by agent
-	Outcomes []Ending
-	Marks    []Mark
+	Outcomes []JobOutcome
+	RunEnds  []RunEnd
 	Notes    []Note
 }
 
-// Ending is the outcome of a job.
-type Ending struct {
+// JobOutcome is the outcome of a job.
+type JobOutcome struct {
 	Job     string
 	Outcome work.Outcome
 }
@@ -103,8 +103,8 @@
 	Job    string
 	Agent  string
 	Run    work.Run
-	What   string
-	Why    string
+	Kind   string
+	Reason string
 	Values map[string]float64 // the figures behind the decision
 }
 
@@ -140,7 +140,7 @@
 // runs of each task are numbered from runNumberBase+1.
 func (c *Core) Submit(now time.Time, w work.Job, runNumberBase int) {
 	if out, ok := c.outcomes[w.ID]; ok {
-		c.decisions.Outcomes = append(c.decisions.Outcomes, Ending{w.ID, out})
+		c.decisions.Outcomes = append(c.decisions.Outcomes, JobOutcome{w.ID, out})
 		return
 	}
 	if j, ok := c.jobs[w.ID]; ok {
--- a/schedule/end.go
+++ b/schedule/end.go
@@ -44,7 +44,7 @@
 	j.lastRun = runTimes{agent: t.agent, wait: tk.startedAt.Sub(j.receivedAt), took: e.Took, expected: tk.expected}
 	if e.End != work.Done {
 		j.requeues++
-		c.addNote(Note{Job: j.ID, Agent: t.agent, Run: e.Run, What: "runEnded", Why: string(e.End) + " " + e.Reason,
+		c.addNote(Note{Job: j.ID, Agent: t.agent, Run: e.Run, Kind: "runEnded", Reason: string(e.End) + " " + e.Reason,
 			Values: map[string]float64{"tookMs": ms(e.Took), "expectedMs": ms(tk.expected)}})
 	}
 	switch {
@@ -115,7 +115,7 @@
 	t.consecutiveFailures++
 	if t.consecutiveFailures >= quarantineFailures && now.After(t.backoffUntil) {
 		t.backoffUntil = now.Add(quarantineTime)
-		c.addNote(Note{Agent: t.agent, What: "quarantine", Why: "runs failed or stalled one after the other"})
+		c.addNote(Note{Agent: t.agent, Kind: "quarantine", Reason: "runs failed or stalled one after the other"})
 	}
 }
 
--- a/schedule/end_test.go
+++ b/schedule/end_test.go
@@ -43,7 +43,7 @@
 	j := job("j", 0, 1, 900*time.Millisecond)
 	h.submit(j)
 	h.addAgent("b", 1)
-	h.advance(cfg.Lost, "a")
+	h.advance(cfg.RunsLostAfter, "a")
 	h.wantStarts("b", 0)
 	h.advance(20*time.Millisecond, "a")
 	h.wantStarts("b", 1)
--- a/schedule/harness_test.go
+++ b/schedule/harness_test.go
@@ -10,8 +10,8 @@
 )
 
 var cfg = schedule.Config{
-	Suspect: 300 * time.Millisecond, Lost: 1350 * time.Millisecond, LostHeld: 1650 * time.Millisecond, Late: 3, Margin: 5 * time.Millisecond,
-	Far: 3, Remember: 100, MaxQueued: 1000,
+	SuspectAfter: 300 * time.Millisecond, RunsLostAfter: 1350 * time.Millisecond, StoredRunsLostAfter: 1650 * time.Millisecond, CutoffFactor: 3, Margin: 5 * time.Millisecond,
+	RemoteFactor: 3, MaxRemembered: 100, MaxQueued: 1000,
 }
 
 // harness simulates the agents and the entries around a Core.
--- a/schedule/job.go
+++ b/schedule/job.go
@@ -91,7 +91,7 @@
 // cutoff returns the time after which the end of a job is of no use to a caller
 // that waits for it.
 func (c *Core) cutoff(j *job) time.Time {
-	return j.receivedAt.Add(time.Duration(float64(j.Queue.Objective(j.Chain())) * c.cfg.Late))
+	return j.receivedAt.Add(time.Duration(float64(j.Queue.Objective(j.Chain())) * c.cfg.CutoffFactor))
 }
 
 // unblock makes those tasks pending that are due and whose steps are ready.
--- a/schedule/place.go
+++ b/schedule/place.go
@@ -84,9 +84,9 @@
 
 // isUsable reports whether a worker is in contact, takes starts and is not draining.
 func (c *Core) isUsable(now time.Time, t *target) bool {
-	contactTimeout := max(c.cfg.Suspect, c.cfg.SuspectIdle)
+	contactTimeout := max(c.cfg.SuspectAfter, c.cfg.SuspectIdleAfter)
 	if len(t.runs) > 0 {
-		contactTimeout = c.cfg.Suspect
+		contactTimeout = c.cfg.SuspectAfter
 	}
 	return t.ready && !t.Draining && now.Sub(t.lastContact) <= contactTimeout
 }
@@ -217,7 +217,7 @@
 // time near its data.
 func (c *Core) distanceFactor(step *work.Step, t *target) float64 {
 	if step.Affinity != "" && !slices.Contains(t.Labels, step.Affinity) {
-		return max(c.cfg.Far, 1)
+		return max(c.cfg.RemoteFactor, 1)
 	}
 	return 1
 }
--- a/schedule/place_test.go
+++ b/schedule/place_test.go
@@ -36,7 +36,7 @@
 	h := newHarness(t)
 	h.addAgent("a", 4)
 	h.addAgent("b", 4)
-	h.advance(cfg.Suspect+20*time.Millisecond, "a")
+	h.advance(cfg.SuspectAfter+20*time.Millisecond, "a")
 	h.submit(job("j", 0, 4, 60*time.Millisecond))
 	h.wantStarts("a", 0)
 	h.wantStarts("b", 4)
--- a/schedule/report.go
+++ b/schedule/report.go
@@ -72,7 +72,7 @@
 		t.logSlowness, t.consecutiveFailures = movingMean{n: min(r.Pace.Runs, slownessWindow), value: r.Pace.Log}, 0
 		t.updateSlowness()
 	}
-	changed := r.Ready != t.ready || r.Target.Born != t.Born || r.Others != t.usedByOthers || now.Sub(t.lastContact) > c.cfg.Suspect
+	changed := r.Ready != t.ready || r.Target.Born != t.Born || r.Others != t.usedByOthers || now.Sub(t.lastContact) > c.cfg.SuspectAfter
 	t.Target, t.ready, t.usedByOthers, t.lastContact = r.Target, r.Ready, r.Others, now
 	changed = c.adopt(now, t, r) || changed
 	for _, e := range r.Events {
@@ -89,9 +89,9 @@
 	}
 }
 
-// Taken returns the sequence number of the last event received from an agent, and
+// LastReceived returns the sequence number of the last event received from an agent, and
 // the incarnation of the agent that sent it.
-func (c *Core) Taken(agent string) (life string, seq uint64) {
+func (c *Core) LastReceived(agent string) (life string, seq uint64) {
 	if t, ok := c.targets[agent]; ok {
 		return t.life, t.lastSeq
 	}
@@ -115,8 +115,8 @@
 func (c *Core) expireAgents(now time.Time) {
 	for _, name := range c.agentNames {
 		t := c.targets[name]
-		if now.Sub(t.lastContact) > c.cfg.Lost && len(t.runs) > 0 {
-			c.lapseRuns(now, t, "agent out of contact", now.Sub(t.lastContact) > c.cfg.LostHeld)
+		if now.Sub(t.lastContact) > c.cfg.RunsLostAfter && len(t.runs) > 0 {
+			c.lapseRuns(now, t, "agent out of contact", now.Sub(t.lastContact) > c.cfg.StoredRunsLostAfter)
 		}
 	}
 	c.agentNames = slices.DeleteFunc(c.agentNames, func(name string) bool {
@@ -143,8 +143,8 @@
 	}
 }
 
-// Uses reports whether an agent has runs of this home.
-func (c *Core) Uses(agent string) bool {
+// HasRuns reports whether an agent has runs of this home.
+func (c *Core) HasRuns(agent string) bool {
 	t, ok := c.targets[agent]
 	return ok && len(t.runs) > 0
 }
--- a/schedule/stall.go
+++ b/schedule/stall.go
@@ -28,7 +28,7 @@
 			}
 			tk := &j.tasks[j.Slot(r.Task)][r.Task.Index]
 			limit := max(overdueFactor*tk.expected, minOverdueTime)
-			if !tk.stopping && now.Sub(tk.startedAt) > limit && now.Sub(t.lastContact) < c.cfg.Suspect {
+			if !tk.stopping && now.Sub(tk.startedAt) > limit && now.Sub(t.lastContact) < c.cfg.SuspectAfter {
 				c.abandonRun(now, t, j, r, "takes far longer than expected")
 			}
 		}
@@ -38,7 +38,7 @@
 // abandonRun stops a run and counts it as a failure of its worker.
 func (c *Core) abandonRun(now time.Time, t *target, j *job, r work.Run, reason string) {
 	tk := &j.tasks[j.Slot(r.Task)][r.Task.Index]
-	c.addNote(Note{Job: j.ID, Agent: t.agent, Run: r, What: "runGivenUp", Why: reason,
+	c.addNote(Note{Job: j.ID, Agent: t.agent, Run: r, Kind: "runGivenUp", Reason: reason,
 		Values: map[string]float64{"ranMs": ms(now.Sub(tk.startedAt)), "expectedMs": ms(tk.expected)}})
 	j.avoidAgent(t.agent)
 	c.countFailure(now, t)
--- a/schedule/stored.go
+++ b/schedule/stored.go
@@ -20,16 +20,16 @@
 	Until time.Time
 	// Agents are those that may get tasks.
 	Agents map[string]bool
-	// Former are the agents on which the previous holder may have placed tasks. No
+	// PreviousAgents are the agents on which the previous holder may have placed tasks. No
 	// task is placed until each of them has confirmed this tenure, or until
 	// LeasesEndAt, when the leases that the previous holder granted have expired.
-	Former []string
-	Clear  time.Time
+	PreviousAgents []string
+	LeasesEndAt    time.Time
 }
 
-// Mark is the end of a run of a stored job, as done or failed, that the home has to
+// RunEnd is the end of a run of a stored job, as done or failed, that the home has to
 // commit to the ledger. The agent retains the event until EventCommitted is called.
-type Mark struct {
+type RunEnd struct {
 	Agent string
 	Life  string // incarnation of the agent
 	Seq   uint64 // of the event
@@ -43,9 +43,9 @@
 	Age time.Duration
 }
 
-// Hold sets the tenure. If its epoch changes, the stored jobs and their runs are
+// SetTenure sets the tenure. If its epoch changes, the stored jobs and their runs are
 // dropped: they belong to another holder or are restored.
-func (c *Core) Hold(now time.Time, t Tenure) {
+func (c *Core) SetTenure(now time.Time, t Tenure) {
 	if t.Epoch != c.tenure.Epoch {
 		c.dropStoredJobs()
 	}
@@ -127,14 +127,14 @@
 	c.placeWaiting(now)
 }
 
-// Begun reports whether any task of a job was sent to an agent.
-func (c *Core) Begun(id string) bool {
+// SentAny reports whether any task of a job was sent to an agent.
+func (c *Core) SentAny(id string) bool {
 	j, ok := c.jobs[id]
 	return ok && j.wasSent
 }
 
-// Saved records that an event is committed, so that its agent may discard it.
-func (c *Core) Saved(agent, life string, seq uint64) {
+// EventCommitted records that an event is committed, so that its agent may discard it.
+func (c *Core) EventCommitted(agent, life string, seq uint64) {
 	if t, ok := c.targets[agent]; ok && t.life == life {
 		t.uncommitted = slices.DeleteFunc(t.uncommitted, func(n uint64) bool { return n == seq })
 	}
@@ -150,7 +150,7 @@
 		return false
 	}
 	t.confirmedEpoch = r.Epoch
-	c.addNote(Note{Agent: t.agent, What: "tenureConfirmed", Why: "the agent obeys this home for stored jobs", Values: map[string]float64{
+	c.addNote(Note{Agent: t.agent, Kind: "tenureConfirmed", Reason: "the agent obeys this home for stored jobs", Values: map[string]float64{
 		"epoch": float64(r.Epoch), "runs": float64(len(r.Kept)), "events": float64(len(r.Events)), "taken": float64(t.lastSeq),
 	}})
 	for _, k := range r.Kept {
@@ -160,14 +160,14 @@
 			continue
 		}
 		c.placeRun(now.Add(-k.Age), t, j, k.Run)
-		c.addNote(Note{Job: j.ID, Agent: t.agent, Run: k.Run, What: "runAdopted", Why: "its former home is lost"})
+		c.addNote(Note{Job: j.ID, Agent: t.agent, Run: k.Run, Kind: "runAdopted", Reason: "its former home is lost"})
 	}
 	return true
 }
 
 // commitEnd has the end of a run committed before its agent may discard the event.
 func (c *Core) commitEnd(t *target, e *Event) {
-	c.decisions.Marks = append(c.decisions.Marks, Mark{Agent: t.agent, Life: t.life, Seq: e.Seq, Run: e.Run, End: e.End})
+	c.decisions.RunEnds = append(c.decisions.RunEnds, RunEnd{Agent: t.agent, Life: t.life, Seq: e.Seq, Run: e.Run, End: e.End})
 	t.uncommitted = append(t.uncommitted, e.Seq)
 }
 
@@ -206,10 +206,10 @@
 // previousRunsKnown reports whether every run that a previous holder placed is known
 // or has ended.
 func (c *Core) previousRunsKnown(now time.Time) bool {
-	if now.After(c.tenure.Clear) {
+	if now.After(c.tenure.LeasesEndAt) {
 		return true
 	}
-	for _, name := range c.tenure.Former {
+	for _, name := range c.tenure.PreviousAgents {
 		if t, ok := c.targets[name]; !ok || t.confirmedEpoch != c.tenure.Epoch {
 			return false
 		}
@@ -222,17 +222,17 @@
 	return c.tenure.Epoch > 0 && now.Before(c.tenure.Until) && c.previousRunsKnown(now)
 }
 
-// Confirmed reports whether an agent has confirmed the tenure.
-func (c *Core) Confirmed(agent string) bool {
+// TenureConfirmed reports whether an agent has confirmed the tenure.
+func (c *Core) TenureConfirmed(agent string) bool {
 	t, ok := c.targets[agent]
 	return ok && t.confirmedEpoch == c.tenure.Epoch
 }
 
-// Heard reports whether an agent is in contact, or was so recently that runs of
+// MayHaveStoredRuns reports whether an agent is in contact, or was so recently that runs of
 // stored jobs may go on there.
-func (c *Core) Heard(now time.Time, agent string) bool {
+func (c *Core) MayHaveStoredRuns(now time.Time, agent string) bool {
 	t, ok := c.targets[agent]
-	return ok && now.Sub(t.lastContact) <= c.cfg.LostHeld
+	return ok && now.Sub(t.lastContact) <= c.cfg.StoredRunsLostAfter
 }
 
 // tenureConfirmedBy reports whether a worker's agent has confirmed the tenure and may
--- a/schedule/stored_test.go
+++ b/schedule/stored_test.go
@@ -11,14 +11,14 @@
 // setTenure gives the home a tenure over the agents; the previous ones have to
 // confirm it.
 func (h *harness) setTenure(epoch uint64, previous ...string) {
-	t := schedule.Tenure{Epoch: epoch, Until: h.now.Add(time.Hour), Agents: make(map[string]bool), Former: previous}
+	t := schedule.Tenure{Epoch: epoch, Until: h.now.Add(time.Hour), Agents: make(map[string]bool), PreviousAgents: previous}
 	if len(previous) > 0 {
-		t.Clear = h.now.Add(6 * time.Second)
+		t.LeasesEndAt = h.now.Add(6 * time.Second)
 	}
 	for a := range h.agents {
 		t.Agents[a] = true
 	}
-	h.c.Hold(h.now, t)
+	h.c.SetTenure(h.now, t)
 	h.collect()
 }
 
@@ -115,7 +115,7 @@
 	if got := h.c.Acked("a"); got != 0 {
 		t.Fatalf("acknowledged %d before the end was committed, want 0", got)
 	}
-	h.c.Saved("a", "1", 1)
+	h.c.EventCommitted("a", "1", 1)
 	if got := h.c.Acked("a"); got != 1 {
 		t.Errorf("acknowledged %d after the end was committed, want 1", got)
 	}
--- a/schedule/straggler.go
+++ b/schedule/straggler.go
@@ -61,7 +61,7 @@
 	}
 	slowdown := math.Exp(sum / float64(n))
 	if t.slowdown == 1 {
-		c.addNote(Note{Agent: t.agent, What: "workerSlow", Why: "runs of several jobs go slower than expected",
+		c.addNote(Note{Agent: t.agent, Kind: "workerSlow", Reason: "runs of several jobs go slower than expected",
 			Values: map[string]float64{"times": slowdown, "slowRuns": float64(n), "runs": float64(len(t.runs))}})
 	}
 	t.slowdown, t.lastSlow = max(slowdown, 1), now
@@ -116,7 +116,7 @@
 		if o == t || !c.isEligible(j, j.Slot(p.Run.Task), o) || !o.free().Holds(step.Room) || minMoveGain*elsewhere > remaining {
 			continue
 		}
-		c.addNote(Note{Job: j.ID, Agent: t.agent, Run: p.Run, What: "runMoved", Why: "its worker is slow",
+		c.addNote(Note{Job: j.ID, Agent: t.agent, Run: p.Run, Kind: "runMoved", Reason: "its worker is slow",
 			Values: map[string]float64{"leftMs": ms(remaining), "thereMs": ms(elsewhere), "ranMs": ms(now.Sub(tk.startedAt))}})
 		j.avoidAgent(t.agent)
 		c.stopTask(j, j.Slot(p.Run.Task), p.Run.Task.Index)
--- a/site/home.go
+++ b/site/home.go
@@ -261,7 +261,7 @@
 		known[a] = true
 	}
 	for a, l := range h.links {
-		if !isHome && running == 0 || !known[a] && !h.core.Uses(a) {
+		if !isHome && running == 0 || !known[a] && !h.core.HasRuns(a) {
 			l.close()
 			delete(h.links, a)
 		}
@@ -360,5 +360,5 @@
 	for k, v := range n.Values {
 		ev = ev.Float64(k, v)
 	}
-	ev.Str("why", n.Why).Msg(n.What)
+	ev.Str("why", n.Reason).Msg(n.Kind)
 }
--- a/site/home_ledger.go
+++ b/site/home_ledger.go
@@ -179,13 +179,13 @@
 	if h.ledger.Held() {
 		t = schedule.Tenure{
 			Epoch: h.ledger.Epoch(), Until: h.ledger.Owned().Add(tenureDuration - tenureMargin),
-			Agents: make(map[string]bool), Former: h.previousAgents, Clear: h.clear,
+			Agents: make(map[string]bool), PreviousAgents: h.previousAgents, LeasesEndAt: h.clear,
 		}
 		for _, a := range h.ledger.Enrolled() {
 			t.Agents[a] = true
 		}
 	}
-	h.core.Hold(now, t)
+	h.core.SetTenure(now, t)
 }
 
 // sendCommit sends a commit and processes its result.
@@ -253,7 +253,7 @@
 		}
 		h.answerAcceptWaiters(change.Job, AcceptReply{Outcome: work.Outcome{State: work.Queued}})
 	case ledger.RunEnded:
-		h.core.Saved(change.Mark.Agent, change.Mark.Life, change.Mark.Seq)
+		h.core.EventCommitted(change.Mark.Agent, change.Mark.Life, change.Mark.Seq)
 	case ledger.JobEnded:
 		if change.State == work.Cancelled {
 			h.core.Cancel(now, change.Job)
@@ -269,7 +269,7 @@
 // recordDecisions adds the core's decisions about stored jobs to the ledger. The
 // caller holds mu.
 func (h *home) recordDecisions(d *schedule.Decisions) {
-	for _, runEnd := range d.Marks {
+	for _, runEnd := range d.RunEnds {
 		h.ledger.End(runEnd.Run.Task, runEnd.End, ledger.Mark{Agent: runEnd.Agent, Life: runEnd.Life, Seq: runEnd.Seq})
 	}
 	for _, answer := range d.Outcomes {
@@ -287,12 +287,12 @@
 		return
 	}
 	for _, a := range agents {
-		if h.core.Heard(now, a) {
+		if h.core.MayHaveStoredRuns(now, a) {
 			h.ledger.Enroll(a)
 		}
 	}
 	for _, a := range h.ledger.Enrolled() {
-		if !h.core.Heard(now, a) && now.After(h.clear) {
+		if !h.core.MayHaveStoredRuns(now, a) && now.After(h.clear) {
 			h.ledger.Dismiss(a)
 			h.updateTenure(now)
 		}
--- a/site/home_stored.go
+++ b/site/home_stored.go
@@ -145,7 +145,7 @@
 		return StateReply{}
 	case j.State != "" && !h.ledger.Pending(id):
 		return StateReply{State: j.State}
-	case h.core.Begun(id):
+	case h.core.SentAny(id):
 		return StateReply{State: work.Running}
 	}
 	return StateReply{State: work.Queued}
--- a/site/link.go
+++ b/site/link.go
@@ -29,7 +29,7 @@
 // The caller holds home.mu.
 func newLink(h *home, agent string) *link {
 	l := &link{h: h, agent: agent, client: wire.NewClient(agent, rpcOptions(h.e.network)), stop: make(chan struct{})}
-	l.life, _ = h.core.Taken(agent)
+	l.life, _ = h.core.LastReceived(agent)
 	go l.duty()
 	return l
 }
@@ -77,7 +77,7 @@
 	switch {
 	case l.echo == 0:
 		return 0
-	case l.h.core.Uses(l.agent):
+	case l.h.core.HasRuns(l.agent):
 		return min(wait, maxSyncWait)
 	}
 	return min(wait, maxIdleSyncWait)
@@ -106,7 +106,7 @@
 func (l *link) sync(wait time.Duration) bool {
 	l.h.mu.Lock()
 	args := SyncArgs{Home: l.h.e.life, Life: l.life, Echo: l.echo, Orders: l.orders, Target: l.targetVersion, Wait: wait}
-	if life, known := l.h.core.Taken(l.agent); life == l.life {
+	if life, known := l.h.core.LastReceived(l.agent); life == l.life {
 		args.Known, args.Acked = known, l.h.core.Acked(l.agent)
 	}
 	args.Tenure = l.ledgerTenure()
@@ -143,7 +143,7 @@
 	t.Epoch = h.ledger.Epoch()
 	// At echoReceived, the agent's time was at least echo.
 	t.Owned = l.echo + h.ledger.Owned().Sub(l.echoReceived)
-	t.Kept = !h.core.Confirmed(l.agent)
+	t.Kept = !h.core.TenureConfirmed(l.agent)
 	return t
 }
 
--- a/site/metrics.go
+++ b/site/metrics.go
@@ -46,7 +46,7 @@
 
 // countNote counts a log note about a decision of the home.
 func (m *entryMetrics) countNote(n *schedule.Note) {
-	m.scope.Tagged(map[string]string{"what": n.What}).Counter("home_decisions").Inc(1)
+	m.scope.Tagged(map[string]string{"what": n.Kind}).Counter("home_decisions").Inc(1)
 	if first, ok := n.Values["firstStartMs"]; ok {
 		m.firstStart.RecordDuration(time.Duration(first * float64(time.Millisecond)))
 	}
--- a/site/site.go
+++ b/site/site.go
@@ -134,8 +134,8 @@
 // HomeConfig returns the limits of a home's scheduler core.
 func HomeConfig(n *platform.Node) schedule.Config {
 	return schedule.Config{
-		Suspect: suspectAfter, SuspectIdle: suspectIdleAfter, Lost: runsLostAfter, LostHeld: storedRunsLostAfter, Far: n.FarFactor, Late: 3, Margin: 5 * time.Millisecond,
-		Remember: 4096, MaxQueued: 20000,
+		SuspectAfter: suspectAfter, SuspectIdleAfter: suspectIdleAfter, RunsLostAfter: runsLostAfter, StoredRunsLostAfter: storedRunsLostAfter, RemoteFactor: n.FarFactor, CutoffFactor: 3, Margin: 5 * time.Millisecond,
+		MaxRemembered: 4096, MaxQueued: 20000,
 	}
 }
 
