--- a/agent/target.go
+++ b/agent/target.go
@@ -35,7 +35,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if err := a.Hear(ann); err != nil {
+	if err := a.TakeAnnouncement(ann); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
@@ -46,9 +46,9 @@
 	web.Reply(w, http.StatusOK, a.status(""))
 }
 
-// Hear applies an announcement of the target unless it is out of date. It returns an
+// TakeAnnouncement applies an announcement of the target unless it is out of date. It returns an
 // error if the announcement is invalid.
-func (a *Agent) Hear(ann target.Announcement) error {
+func (a *Agent) TakeAnnouncement(ann target.Announcement) error {
 	if err := ann.Check(); err != nil {
 		return err
 	}
--- a/agent/target_test.go
+++ b/agent/target_test.go
@@ -22,7 +22,7 @@
 	defer a.Kill()
 	announce := func(ann target.Announcement) {
 		ann.Name, ann.Service, ann.Address, ann.Slots = "desk1", "pickup", "127.0.0.1:2", 4
-		if err := a.Hear(ann); err != nil {
+		if err := a.TakeAnnouncement(ann); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/bench/replay.go
+++ b/bench/replay.go
@@ -156,7 +156,7 @@
 
 // sendReport sends the report of an agent to the home.
 func (r *replay) sendReport(w *modelWorker) {
-	w.guard.Hear(homeName, r.now())
+	w.guard.RecordContact(homeName, r.now())
 	incarnation, acked := r.core.LastReceived(w.agent)
 	if incarnation == "" {
 		acked = 0
--- a/bench/replay_worker.go
+++ b/bench/replay_worker.go
@@ -145,18 +145,18 @@
 func (w *modelWorker) poll() {
 	now := w.replay.now()
 	if w.down {
-		w.guard.LookFailed(now)
+		w.guard.PollFailed(now)
 		w.replay.sendReport(w)
 		return
 	}
-	snapshot := worker.Look{Token: w.guard.Token(), Born: w.target.Born, Clock: w.replay.clock.elapsed - w.startedAt + time.Second, Running: make(map[work.Run]int), Ended: w.ended}
+	snapshot := worker.Snapshot{Token: w.guard.Token(), Born: w.target.Born, Clock: w.replay.clock.elapsed - w.startedAt + time.Second, Running: make(map[work.Run]int), Ended: w.ended}
 	for _, m := range w.runs {
 		w.updateProgress(m)
 		snapshot.Running[m.run] = int(100 * float64(m.total-m.remaining) / float64(m.total))
 	}
 	w.ended = nil
-	w.guard.Until(now)
-	w.guard.Looked(now, snapshot)
+	w.guard.LeaseUntil(now)
+	w.guard.PollAnswered(now, snapshot)
 	w.performOrders()
 	w.replay.sendReport(w)
 }
@@ -188,7 +188,7 @@
 // sendHeartbeat sends a heartbeat of the worker to its agent.
 func (w *modelWorker) sendHeartbeat(draining bool) {
 	w.target.Draining = draining
-	w.guard.Report(w.replay.now(), w.target, w.replay.clock.elapsed-w.startedAt+time.Second)
+	w.guard.TakeHeartbeat(w.replay.now(), w.target, w.replay.clock.elapsed-w.startedAt+time.Second)
 	w.replay.sendReport(w)
 }
 
--- a/failure/drain_test.go
+++ b/failure/drain_test.go
@@ -21,7 +21,7 @@
 	},
 	"target leaves": func(s *site, i int) {
 		f := s.targets[i]
-		if err := s.agent(i).Hear(f.leavingAnnouncement()); err != nil {
+		if err := s.agent(i).TakeAnnouncement(f.leavingAnnouncement()); err != nil {
 			s.t.Error(err)
 		}
 	},
--- a/failure/site_test.go
+++ b/failure/site_test.go
@@ -145,7 +145,7 @@
 			continue
 		}
 		s.network.awaitResume(f.host.name)
-		if err := s.agent(i).Hear(announcement); err != nil {
+		if err := s.agent(i).TakeAnnouncement(announcement); err != nil {
 			s.t.Error(err)
 		}
 	}
--- a/ledger/commit.go
+++ b/ledger/commit.go
@@ -9,20 +9,20 @@
 	"masticbay/store"
 )
 
-// Flight is a commit that was sent and whose result is not known.
+// PendingCommit is a commit that was sent and whose result is not known.
 //
 // Several commits are in flight at a time, each with jobs of its own. The store may
 // still carry out a commit that was not answered. So nothing is sent until all
 // others are answered, and then a commit that only renews the tenure invalidates the
 // unanswered one. After that its changes are sent again.
-type Flight struct {
+type PendingCommit struct {
 	commit           *store.Commit
 	kind             commitKind
 	firstSentAt      time.Time // when it was first sent
 	awaitsResult     bool      // it was sent and its result has not been recorded
 	tenure           tenure    // written by a commit that is not plain
 	jobs             []string
-	changes          []Fact
+	changes          []Change
 	newJobs          []*Job   // whose items it is the first to write
 	endedJobs        []*Job   // whose ends it writes
 	newAgents        []string // that it enrolls
@@ -31,7 +31,7 @@
 }
 
 // Commit returns the commit to send to the store.
-func (p *Flight) Commit() *store.Commit { return p.commit }
+func (p *PendingCommit) Commit() *store.Commit { return p.commit }
 
 type commitKind int
 
@@ -44,7 +44,7 @@
 // Next returns the commit to send now, or nil. Its result must be recorded by
 // Committed, Conflict, Refused or Unanswered. The wall time decides which ended jobs
 // have expired.
-func (l *Ledger) Next(now, wall time.Time) (p *Flight, err error) {
+func (l *Ledger) Next(now, wall time.Time) (p *PendingCommit, err error) {
 	defer func() { err = errors.Annotate(err, "making a commit") }()
 	switch {
 	case l.tenureCommit != nil:
@@ -60,10 +60,10 @@
 		next := l.tenure
 		next.Seq++
 		return l.newTenureCommit(now, renew, next)
-	case len(l.inFlight) >= l.cfg.Flights || !l.commitDue(now, wall):
+	case len(l.inFlight) >= l.cfg.MaxInFlight || !l.commitDue(now, wall):
 		return nil, nil
 	}
-	p = &Flight{firstSentAt: now, awaitsResult: true, commit: &store.Commit{Guard: TenureKey, Revision: l.rev}}
+	p = &PendingCommit{firstSentAt: now, awaitsResult: true, commit: &store.Commit{Guard: TenureKey, Revision: l.rev}}
 	if err := l.fill(wall, p); err != nil {
 		return nil, err
 	}
@@ -76,7 +76,7 @@
 
 // commitWithoutWrites returns a commit for changes of jobs that are no longer retained.
 // They need only the confirmation that the tenure holds.
-func (l *Ledger) commitWithoutWrites(now time.Time, p *Flight) (*Flight, error) {
+func (l *Ledger) commitWithoutWrites(now time.Time, p *PendingCommit) (*PendingCommit, error) {
 	if len(p.changes) == 0 {
 		return nil, nil
 	}
@@ -94,7 +94,7 @@
 }
 
 // resend returns the tenure's commit again unless its result is awaited.
-func (l *Ledger) resend() *Flight {
+func (l *Ledger) resend() *PendingCommit {
 	if l.tenureCommit.awaitsResult {
 		return nil
 	}
@@ -103,12 +103,12 @@
 }
 
 // newTenureCommit returns a commit that writes the tenure.
-func (l *Ledger) newTenureCommit(now time.Time, kind commitKind, t tenure) (*Flight, error) {
+func (l *Ledger) newTenureCommit(now time.Time, kind commitKind, t tenure) (*PendingCommit, error) {
 	raw, err := json.Marshal(t)
 	if err != nil {
 		return nil, err
 	}
-	l.tenureCommit = &Flight{
+	l.tenureCommit = &PendingCommit{
 		firstSentAt: now, awaitsResult: true, kind: kind, tenure: t,
 		commit: &store.Commit{Guard: TenureKey, Revision: l.rev, Writes: []store.Item{{Key: TenureKey, Value: raw}}},
 	}
@@ -118,23 +118,23 @@
 
 // renewalDue reports whether the tenure must be renewed because jobs are open.
 func (l *Ledger) renewalDue(now time.Time) bool {
-	return now.Sub(l.lastSentAt) >= l.cfg.Refresh && len(l.changedJobs) == 0 && len(l.jobs) > len(l.ended)
+	return now.Sub(l.lastSentAt) >= l.cfg.RenewalInterval && len(l.changedJobs) == 0 && len(l.jobs) > len(l.ended)
 }
 
-// Sent returns when the last commit was first sent.
-func (l *Ledger) Sent() time.Time { return l.lastSentAt }
+// SentAt returns when the last commit was first sent.
+func (l *Ledger) SentAt() time.Time { return l.lastSentAt }
 
-// Changed reports whether changes wait to be committed.
-func (l *Ledger) Changed() bool { return len(l.changedJobs) > 0 }
+// HasChanges reports whether changes wait to be committed.
+func (l *Ledger) HasChanges() bool { return len(l.changedJobs) > 0 }
 
 // commitDue reports whether something must be committed now.
 func (l *Ledger) commitDue(now, wall time.Time) bool {
 	switch age := now.Sub(l.lastSentAt); {
-	case age < l.cfg.Gap:
+	case age < l.cfg.CommitInterval:
 		return false
 	case len(l.changedJobs) > 0 || len(l.keysToDelete) > 0:
 		return true
-	case age < l.cfg.Refresh:
+	case age < l.cfg.RenewalInterval:
 		return false
 	}
 	return l.enrollmentChanged || l.oldestExpired(wall)
--- a/ledger/fill.go
+++ b/ledger/fill.go
@@ -10,15 +10,15 @@
 
 // oldestExpired reports whether the retention of the job that ended first has passed.
 func (l *Ledger) oldestExpired(wall time.Time) bool {
-	return l.endedLoaded && len(l.ended) > 0 && l.ended[0].endStored && wall.Sub(l.ended[0].Ended) > l.cfg.Keep
+	return l.endedLoaded && len(l.ended) > 0 && l.ended[0].endStored && wall.Sub(l.ended[0].Ended) > l.cfg.EndedRetention
 }
 
 // maxJobEntries is the highest number of commit entries that one job takes.
 const maxJobEntries = 3
 
 // fill adds changes to a commit as far as they fit, only of jobs that are in no other commit.
-func (l *Ledger) fill(wall time.Time, p *Flight) (err error) {
-	space := l.cfg.Entries - 1 // the condition
+func (l *Ledger) fill(wall time.Time, p *PendingCommit) (err error) {
+	space := l.cfg.MaxCommitEntries - 1 // the condition
 	if l.enrollmentChanged {
 		if err := l.fillAgents(p); err != nil {
 			return err
@@ -57,7 +57,7 @@
 }
 
 // fill adds the writes and deletions that a job needs.
-func (j *Job) fill(p *Flight) error {
+func (j *Job) fill(p *PendingCommit) error {
 	isNew, key := !j.stored, jobPrefix+j.ID
 	if j.State != "" {
 		key = EndedPrefix + j.ID
@@ -92,7 +92,7 @@
 	return nil
 }
 
-func (l *Ledger) fillAgents(p *Flight) error {
+func (l *Ledger) fillAgents(p *PendingCommit) error {
 	all := []string{}
 	for a, stored := range l.agents {
 		all = append(all, a)
--- a/ledger/holder.go
+++ b/ledger/holder.go
@@ -9,9 +9,9 @@
 	"masticbay/store"
 )
 
-// Find takes the tenure's key as read from the store, with revision 0 if the key
+// SetHolder takes the tenure's key as read from the store, with revision 0 if the key
 // does not exist.
-func (l *Ledger) Find(it store.Item) (err error) {
+func (l *Ledger) SetHolder(it store.Item) (err error) {
 	if l.phase >= loading || l.tenureCommit != nil {
 		return nil // commits take precedence
 	}
@@ -32,15 +32,15 @@
 	return nil
 }
 
-// Doubt discards the knowledge that nobody held the ledger: another entry may hold it now.
-func (l *Ledger) Doubt() {
+// InvalidateVacant discards the knowledge that nobody held the ledger: another entry may hold it now.
+func (l *Ledger) InvalidateVacant() {
 	if l.phase == vacant && l.tenureCommit == nil {
 		l.phase = unread
 	}
 }
 
-// Known reports whether the store has shown who holds the ledger.
-func (l *Ledger) Known() bool { return l.phase != unread }
+// HolderKnown reports whether the store has shown who holds the ledger.
+func (l *Ledger) HolderKnown() bool { return l.phase != unread }
 
 // Vacant reports whether nobody has ever held the ledger.
 func (l *Ledger) Vacant() bool { return l.phase == vacant }
@@ -48,8 +48,8 @@
 // Holder returns the incarnation of the entry that last held the ledger.
 func (l *Ledger) Holder() string { return l.tenure.Life }
 
-// Claim makes the next commit acquire the ledger.
-func (l *Ledger) Claim() {
+// Acquire makes the next commit acquire the ledger.
+func (l *Ledger) Acquire() {
 	if l.phase == vacant || l.phase == foreign {
 		l.acquiring = true
 	}
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -42,11 +42,11 @@
 
 // Config holds the limits of a Ledger.
 type Config struct {
-	Keep    time.Duration // how long the state of an ended job can be queried
-	Refresh time.Duration // longest time between commits while jobs are open
-	Gap     time.Duration // shortest time between commits, so that changes share them
-	Entries int           // most conditions, writes and deletions of a commit
-	Flights int           // most commits in flight
+	EndedRetention   time.Duration // how long the state of an ended job can be queried
+	RenewalInterval  time.Duration // longest time between commits while jobs are open
+	CommitInterval   time.Duration // shortest time between commits, so that changes share them
+	MaxCommitEntries int           // most conditions, writes and deletions of a commit
+	MaxInFlight      int           // most commits in flight
 }
 
 // phase is what an entry knows about the ledger.
@@ -69,21 +69,21 @@
 	tenure    tenure
 	rev       uint64 // of the key of the tenure
 
-	renewedAt         time.Time       // when the last commit that succeeded was sent
-	lastSentAt        time.Time       // when the last commit was first sent
-	failingSince      time.Time       // since when no commit has succeeded although some were sent; zero if the last one did
-	tenureCommit      *Flight         // the commit that writes the tenure; nil if there is none
-	inFlight          []*Flight       // the other commits that await a result
-	unanswered        []*Flight       // the other commits that were not answered
-	busy              map[string]bool // jobs in inFlight and unanswered
-	keysToDelete      []string        // deletions to repeat
+	renewedAt         time.Time        // when the last commit that succeeded was sent
+	lastSentAt        time.Time        // when the last commit was first sent
+	failingSince      time.Time        // since when no commit has succeeded although some were sent; zero if the last one did
+	tenureCommit      *PendingCommit   // the commit that writes the tenure; nil if there is none
+	inFlight          []*PendingCommit // the other commits that await a result
+	unanswered        []*PendingCommit // the other commits that were not answered
+	busy              map[string]bool  // jobs in inFlight and unanswered
+	keysToDelete      []string         // deletions to repeat
 	jobs              map[string]*Job
-	changes           map[string][]Fact // to commit, by job
-	changedJobs       []string          // the keys of changes, in the order of their first change
-	ended             []*Job            // retained ended jobs, by the time of their end
-	agents            map[string]bool   // enrolled agents; false until that is committed
-	enrollmentChanged bool              // agents differs from what was last committed
-	endedLoaded       bool              // the ended jobs have been read too
+	changes           map[string][]Change // to commit, by job
+	changedJobs       []string            // the keys of changes, in the order of their first change
+	ended             []*Job              // retained ended jobs, by the time of their end
+	agents            map[string]bool     // enrolled agents; false until that is committed
+	enrollmentChanged bool                // agents differs from what was last committed
+	endedLoaded       bool                // the ended jobs have been read too
 }
 
 // New returns the ledger as seen by an entry that has just started.
@@ -96,7 +96,7 @@
 func (l *Ledger) reset() {
 	l.tenureCommit, l.inFlight, l.unanswered, l.keysToDelete = nil, nil, nil, nil
 	l.changedJobs, l.ended, l.enrollmentChanged, l.endedLoaded, l.failingSince = nil, nil, false, false, time.Time{}
-	l.jobs, l.changes, l.agents = make(map[string]*Job), make(map[string][]Fact), make(map[string]bool)
+	l.jobs, l.changes, l.agents = make(map[string]*Job), make(map[string][]Change), make(map[string]bool)
 	l.busy = make(map[string]bool)
 }
 
@@ -114,26 +114,26 @@
 	hasProgressItem bool // an item with its progress may be in the store
 }
 
-// FactKind is the kind of a committed change.
-type FactKind int
+// ChangeKind is the kind of a committed change.
+type ChangeKind int
 
 // The kinds of changes.
 const (
-	Accepted FactKind = iota
+	Accepted ChangeKind = iota
 	RunEnded
 	JobEnded
 )
 
-// Fact is a change that the store acknowledges with a commit.
-type Fact struct {
-	Kind  FactKind
+// Change is a change that the store acknowledges with a commit.
+type Change struct {
+	Kind  ChangeKind
 	Job   string
 	State work.State // of JobEnded
-	Mark  Mark       // of RunEnded
+	Event EventRef   // of RunEnded
 }
 
-// Mark names the event of an agent that reported the end of a run.
-type Mark struct {
+// EventRef names the event of an agent that reported the end of a run.
+type EventRef struct {
 	Agent string
 	Life  string // incarnation of the agent
 	Seq   uint64
@@ -150,15 +150,15 @@
 // Held reports whether this entry holds the ledger and has read the open jobs.
 func (l *Ledger) Held() bool { return l.phase == held }
 
-// Whole reports whether this entry has read the ended jobs too, and can accept new ones.
-func (l *Ledger) Whole() bool { return l.phase == held && l.endedLoaded }
+// EndedLoaded reports whether this entry has read the ended jobs too, and can accept new ones.
+func (l *Ledger) EndedLoaded() bool { return l.phase == held && l.endedLoaded }
 
-// Owned returns when the tenure was last known to hold.
-func (l *Ledger) Owned() time.Time { return l.renewedAt }
+// RenewedAt returns when the tenure was last known to hold.
+func (l *Ledger) RenewedAt() time.Time { return l.renewedAt }
 
-// Stalled returns how long the store has carried out no commit although some were
+// StoreOutage returns how long the store has carried out no commit although some were
 // sent.
-func (l *Ledger) Stalled(now time.Time) time.Duration {
+func (l *Ledger) StoreOutage(now time.Time) time.Duration {
 	if l.failingSince.IsZero() {
 		return 0
 	}
@@ -195,7 +195,7 @@
 func (l *Ledger) Accept(submitted time.Time, w *work.Job) {
 	j := &Job{Job: *w, Submitted: submitted, Done: make([][]int, w.Slots()), Failures: make(map[work.TaskRef]int)}
 	l.jobs[w.ID] = j
-	l.addChange(w.ID, Fact{Kind: Accepted, Job: w.ID})
+	l.addChange(w.ID, Change{Kind: Accepted, Job: w.ID})
 }
 
 // Stored reports whether a job has been stored.
@@ -204,8 +204,8 @@
 	return ok && j.stored
 }
 
-// End records that a run has ended as done or failed.
-func (l *Ledger) End(t work.TaskRef, end work.End, m Mark) {
+// EndRun records that a run has ended as done or failed.
+func (l *Ledger) EndRun(t work.TaskRef, end work.End, m EventRef) {
 	j, ok := l.jobs[t.Job]
 	if ok && j.State == "" {
 		switch end {
@@ -216,22 +216,22 @@
 			j.Failures[t]++
 		}
 	}
-	l.addChange(t.Job, Fact{Kind: RunEnded, Job: t.Job, Mark: m})
+	l.addChange(t.Job, Change{Kind: RunEnded, Job: t.Job, Event: m})
 }
 
-// Close records the state in which a job has ended, and the wall time of its end.
-func (l *Ledger) Close(wall time.Time, id string, s work.State) {
+// EndJob records the state in which a job has ended, and the wall time of its end.
+func (l *Ledger) EndJob(wall time.Time, id string, s work.State) {
 	j, ok := l.jobs[id]
 	if !ok || j.State != "" {
 		return
 	}
 	j.State, j.Ended = s, wall
 	l.ended = append(l.ended, j)
-	l.addChange(id, Fact{Kind: JobEnded, Job: id, State: s})
+	l.addChange(id, Change{Kind: JobEnded, Job: id, State: s})
 }
 
-// Pending reports whether a job has an end that the store has not acknowledged.
-func (l *Ledger) Pending(id string) bool {
+// EndPending reports whether a job has an end that the store has not acknowledged.
+func (l *Ledger) EndPending(id string) bool {
 	j, ok := l.jobs[id]
 	return ok && j.State != "" && !j.endStored
 }
@@ -243,8 +243,8 @@
 	}
 }
 
-// Dismiss undoes Enroll for an agent at which nothing can run any more.
-func (l *Ledger) Dismiss(agent string) {
+// Unenroll undoes Enroll for an agent at which nothing can run any more.
+func (l *Ledger) Unenroll(agent string) {
 	if _, ok := l.agents[agent]; ok && l.phase == held {
 		delete(l.agents, agent)
 		l.enrollmentChanged = true
@@ -263,7 +263,7 @@
 	return agents
 }
 
-func (l *Ledger) addChange(id string, c Fact) {
+func (l *Ledger) addChange(id string, c Change) {
 	if _, ok := l.changes[id]; !ok {
 		l.changedJobs = append(l.changedJobs, id)
 	}
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -13,7 +13,7 @@
 	"masticbay/work"
 )
 
-var cfg = ledger.Config{Keep: time.Minute, Refresh: 700 * time.Millisecond, Gap: 10 * time.Millisecond, Entries: 32, Flights: 4}
+var cfg = ledger.Config{EndedRetention: time.Minute, RenewalInterval: 700 * time.Millisecond, CommitInterval: 10 * time.Millisecond, MaxCommitEntries: 32, MaxInFlight: 4}
 
 // driver simulates the store and the commit loop of one home around a Ledger. The home
 // is the coordinator that places the tasks of a site.
@@ -22,7 +22,7 @@
 	st      *store.Memory
 	l       *ledger.Ledger
 	now     time.Time
-	changes []ledger.Fact
+	changes []ledger.Change
 }
 
 func newDriver(t *testing.T) *driver {
@@ -41,16 +41,16 @@
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		d.t.Fatal(err)
 	}
-	if err := d.l.Find(it); err != nil {
+	if err := d.l.SetHolder(it); err != nil {
 		d.t.Fatal(err)
 	}
-	d.l.Claim()
+	d.l.Acquire()
 	d.commit()
-	if err := d.l.Load(d.list(ledger.OpenPrefix)); err != nil || !d.l.Held() || d.l.Whole() {
-		d.t.Fatalf("held %t, ended jobs loaded %t: %v", d.l.Held(), d.l.Whole(), err)
+	if err := d.l.Load(d.list(ledger.OpenPrefix)); err != nil || !d.l.Held() || d.l.EndedLoaded() {
+		d.t.Fatalf("held %t, ended jobs loaded %t: %v", d.l.Held(), d.l.EndedLoaded(), err)
 	}
-	if err := d.l.LoadEnded(d.list(ledger.EndedPrefix)); err != nil || !d.l.Whole() {
-		d.t.Fatalf("ended jobs loaded %t: %v", d.l.Whole(), err)
+	if err := d.l.LoadEnded(d.list(ledger.EndedPrefix)); err != nil || !d.l.EndedLoaded() {
+		d.t.Fatalf("ended jobs loaded %t: %v", d.l.EndedLoaded(), err)
 	}
 }
 
@@ -64,9 +64,9 @@
 }
 
 // nextCommit returns what the ledger wants to commit next.
-func (d *driver) nextCommit() *ledger.Flight {
+func (d *driver) nextCommit() *ledger.PendingCommit {
 	d.t.Helper()
-	d.now = d.now.Add(cfg.Gap)
+	d.now = d.now.Add(cfg.CommitInterval)
 	p, err := d.l.Next(d.now, d.now)
 	if err != nil {
 		d.t.Fatal(err)
@@ -83,20 +83,20 @@
 }
 
 // carryOut lets the store carry out a commit, and records the result.
-func (d *driver) carryOut(p *ledger.Flight) (deposed bool) {
+func (d *driver) carryOut(p *ledger.PendingCommit) (deposed bool) {
 	d.t.Helper()
 	c := p.Commit()
-	if n := 1 + len(c.Writes) + len(c.Deletes); n > cfg.Entries {
+	if n := 1 + len(c.Writes) + len(c.Deletes); n > cfg.MaxCommitEntries {
 		d.t.Fatalf("commit has %d entries", n)
 	}
 	rev, err := d.st.Commit(c)
-	var changes []ledger.Fact
+	var changes []ledger.Change
 	if conflict, ok := errors.AsType[*store.ConflictError](err); ok {
 		if changes, deposed, err = d.l.Conflict(p, conflict.Have); err != nil {
 			d.t.Fatal(err)
 		}
 	} else {
-		changes = d.l.Took(p, rev)
+		changes = d.l.Committed(p, rev)
 	}
 	d.changes = append(d.changes, changes...)
 	return deposed
@@ -115,9 +115,9 @@
 	d.accept("b")
 	d.l.Enroll("a1")
 	d.commit()
-	d.l.End(ref("a", 1), work.Done, ledger.Mark{Agent: "a1", Seq: 7})
-	d.l.End(ref("a", 2), work.Failed, ledger.Mark{Agent: "a1", Seq: 8})
-	d.l.Close(d.now, "b", work.Completed)
+	d.l.EndRun(ref("a", 1), work.Done, ledger.EventRef{Agent: "a1", Seq: 7})
+	d.l.EndRun(ref("a", 2), work.Failed, ledger.EventRef{Agent: "a1", Seq: 8})
+	d.l.EndJob(d.now, "b", work.Completed)
 	d.commit()
 
 	next := d.nextHome("e2")
@@ -160,7 +160,7 @@
 				t.Fatal(err)
 			}
 		}
-		d.l.Lost(d.now, p)
+		d.l.Unanswered(d.now, p)
 		d.accept("b")
 		d.commit() // renews the tenure
 		if d.l.Stored("a") || d.l.Stored("b") {
@@ -185,8 +185,8 @@
 	if _, err := d.st.Commit(p.Commit()); err != nil {
 		t.Fatal(err)
 	}
-	d.l.Lost(d.now, p)
-	d.l.Close(d.now, "a", work.Cancelled)
+	d.l.Unanswered(d.now, p)
+	d.l.EndJob(d.now, "a", work.Cancelled)
 	for range 3 {
 		d.commit()
 	}
@@ -201,9 +201,9 @@
 func TestEndOfRunOfUnknownJobIsAcknowledged(t *testing.T) {
 	d := newDriver(t)
 	d.acquire()
-	d.l.End(ref("forgotten", 0), work.Done, ledger.Mark{Agent: "a1", Seq: 7})
+	d.l.EndRun(ref("forgotten", 0), work.Done, ledger.EventRef{Agent: "a1", Seq: 7})
 	d.commit()
-	if len(d.changes) != 1 || d.changes[0].Mark.Seq != 7 {
+	if len(d.changes) != 1 || d.changes[0].Event.Seq != 7 {
 		t.Errorf("changes %v", d.changes)
 	}
 }
@@ -213,7 +213,7 @@
 	d.acquire()
 	d.accept("a")
 	first := d.nextCommit()
-	d.l.Close(d.now, "a", work.Cancelled)
+	d.l.EndJob(d.now, "a", work.Cancelled)
 	d.accept("b")
 	second := d.nextCommit()
 	if second == nil || len(second.Commit().Writes) != 1 {
@@ -225,7 +225,7 @@
 	}
 	d.carryOut(first)
 	d.commit()
-	if d.l.Pending("a") {
+	if d.l.EndPending("a") {
 		t.Error("end of job a was not committed after its creation")
 	}
 }
@@ -236,8 +236,8 @@
 	d.accept("a")
 	d.l.Refused(d.now, d.nextCommit())
 	d.commit()
-	if !d.l.Stored("a") || d.l.Stalled(d.now) != 0 {
-		t.Errorf("stored %t, store outage %v", d.l.Stored("a"), d.l.Stalled(d.now))
+	if !d.l.Stored("a") || d.l.StoreOutage(d.now) != 0 {
+		t.Errorf("stored %t, store outage %v", d.l.Stored("a"), d.l.StoreOutage(d.now))
 	}
 }
 
@@ -246,7 +246,7 @@
 	d.acquire()
 	d.accept("a")
 	d.commit()
-	d.l.Close(d.now, "a", work.Completed)
+	d.l.EndJob(d.now, "a", work.Completed)
 	stale := d.nextCommit() // in flight while another entry takes the ledger
 	next := d.nextHome("e2")
 	next.acquire()
@@ -263,15 +263,15 @@
 
 func TestUnansweredAcquisitionHolds(t *testing.T) {
 	d := newDriver(t)
-	if err := d.l.Find(store.Item{}); err != nil {
+	if err := d.l.SetHolder(store.Item{}); err != nil {
 		t.Fatal(err)
 	}
-	d.l.Claim()
+	d.l.Acquire()
 	p := d.nextCommit()
 	if _, err := d.st.Commit(p.Commit()); err != nil {
 		t.Fatal(err)
 	}
-	d.l.Lost(d.now, p)
+	d.l.Unanswered(d.now, p)
 	d.commit()
 	if d.l.Epoch() != 1 || !d.l.Loading() {
 		t.Errorf("epoch %d, loading %t", d.l.Epoch(), d.l.Loading())
@@ -297,9 +297,9 @@
 	d.acquire()
 	d.accept("a")
 	d.commit()
-	d.l.Close(d.now, "a", work.Completed)
+	d.l.EndJob(d.now, "a", work.Completed)
 	d.commit()
-	d.now = d.now.Add(cfg.Keep - time.Second)
+	d.now = d.now.Add(cfg.EndedRetention - time.Second)
 	d.commit()
 	if _, ok := d.l.Job("a"); !ok {
 		t.Error("deleted too early")
@@ -319,10 +319,10 @@
 	d.acquire()
 	d.l.Enroll("a1")
 	d.l.Enroll("a2")
-	d.now = d.now.Add(cfg.Refresh)
+	d.now = d.now.Add(cfg.RenewalInterval)
 	d.commit()
-	d.l.Dismiss("a1")
-	d.now = d.now.Add(cfg.Refresh)
+	d.l.Unenroll("a1")
+	d.now = d.now.Add(cfg.RenewalInterval)
 	d.commit()
 	next := d.nextHome("e2")
 	next.acquire()
--- a/ledger/result.go
+++ b/ledger/result.go
@@ -10,9 +10,9 @@
 	"masticbay/store"
 )
 
-// Took records that a commit succeeded with a revision, and returns the changes that
+// Committed records that a commit succeeded with a revision, and returns the changes that
 // are durable now.
-func (l *Ledger) Took(p *Flight, rev uint64) (changes []Fact) {
+func (l *Ledger) Committed(p *PendingCommit, rev uint64) (changes []Change) {
 	if !l.removeInFlight(p) {
 		return nil
 	}
@@ -37,7 +37,7 @@
 
 // removeInFlight removes a commit that awaits its result, and reports whether it was
 // found.
-func (l *Ledger) removeInFlight(p *Flight) bool {
+func (l *Ledger) removeInFlight(p *PendingCommit) bool {
 	p.awaitsResult = false
 	if p == l.tenureCommit {
 		l.tenureCommit = nil
@@ -52,7 +52,7 @@
 }
 
 // applyCommitted records that everything in a commit is durable.
-func (l *Ledger) applyCommitted(p *Flight) []Fact {
+func (l *Ledger) applyCommitted(p *PendingCommit) []Change {
 	for _, id := range p.jobs {
 		delete(l.busy, id)
 	}
@@ -72,7 +72,7 @@
 
 // retry returns the contents of a commit that failed, or may have failed, to the queue.
 // Its writes state the result, so carrying them out twice does no harm.
-func (l *Ledger) retry(p *Flight) {
+func (l *Ledger) retry(p *PendingCommit) {
 	for _, id := range p.jobs {
 		delete(l.busy, id)
 		if _, ok := l.changes[id]; !ok {
@@ -87,14 +87,14 @@
 }
 
 // Refused records that a commit was refused: it had no effect.
-func (l *Ledger) Refused(now time.Time, p *Flight) {
+func (l *Ledger) Refused(now time.Time, p *PendingCommit) {
 	if l.commitFailed(now, p) {
 		l.retry(p)
 	}
 }
 
-// Lost records that a commit was not answered: the store may still carry it out.
-func (l *Ledger) Lost(now time.Time, p *Flight) {
+// Unanswered records that a commit was not answered: the store may still carry it out.
+func (l *Ledger) Unanswered(now time.Time, p *PendingCommit) {
 	if l.commitFailed(now, p) {
 		l.unanswered = append(l.unanswered, p)
 	}
@@ -102,7 +102,7 @@
 
 // commitFailed records that a commit did not succeed, as far as is known, and reports
 // whether it is no longer in flight. A commit of the tenure is sent again unchanged.
-func (l *Ledger) commitFailed(now time.Time, p *Flight) bool {
+func (l *Ledger) commitFailed(now time.Time, p *PendingCommit) bool {
 	if l.failingSince.IsZero() {
 		l.failingSince = now
 	}
@@ -117,7 +117,7 @@
 // Either an earlier transmission of the tenure's commit succeeded, or another entry
 // holds the tenure now. In the second case deposed is true if this entry held it, and
 // everything that was not committed is discarded.
-func (l *Ledger) Conflict(p *Flight, it store.Item) (changes []Fact, deposed bool, err error) {
+func (l *Ledger) Conflict(p *PendingCommit, it store.Item) (changes []Change, deposed bool, err error) {
 	if p != l.tenureCommit && !slices.Contains(l.inFlight, p) {
 		return nil, false, nil
 	}
@@ -129,7 +129,7 @@
 		}
 	}
 	if p.kind != plain && t == p.tenure {
-		return l.Took(p, it.Revision), false, nil
+		return l.Committed(p, it.Revision), false, nil
 	}
 	deposed = l.phase >= loading
 	l.reset()
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -31,11 +31,11 @@
 
 // Config holds the times of a Roster.
 type Config struct {
-	HomeSilence time.Duration // time without contact after which a home is out of contact; homes are greeted often
-	Silence     time.Duration // the same for other entries
-	Listen      time.Duration // time from the start in which an entry does not make itself home
-	Forget      time.Duration // how long an entry out of contact is retained
-	Panel       int           // most entries on the panel besides the home
+	HomeContactTimeout time.Duration // time without contact after which a home is out of contact; homes are greeted often
+	ContactTimeout     time.Duration // the same for other entries
+	StartupWait        time.Duration // time from the start in which an entry does not make itself home
+	PeerRetention      time.Duration // how long an entry out of contact is retained
+	PanelSize          int           // most entries on the panel besides the home
 }
 
 // Member describes an entry in its greetings.
@@ -87,8 +87,8 @@
 // contactsUnchangedUntil returns until when the same members are in contact if no
 // greeting arrives.
 func (r *Roster) contactsUnchangedUntil(now time.Time) time.Time {
-	until := now.Add(r.cfg.Silence)
-	if ready := r.startedAt.Add(r.cfg.Listen); now.Before(ready) {
+	until := now.Add(r.cfg.ContactTimeout)
+	if ready := r.startedAt.Add(r.cfg.StartupWait); now.Before(ready) {
 		until = ready.Add(-1)
 	}
 	for _, p := range r.peers {
@@ -111,7 +111,7 @@
 
 // Self returns the description of this entry.
 func (r *Roster) Self(now time.Time) Member {
-	r.self.Young = now.Sub(r.startedAt) < r.cfg.Listen
+	r.self.Young = now.Sub(r.startedAt) < r.cfg.StartupWait
 	return r.self
 }
 
@@ -127,8 +127,8 @@
 	r.self.Agents = n
 }
 
-// Hear records contact with an entry and its description.
-func (r *Roster) Hear(now time.Time, m Member) {
+// RecordContact records contact with an entry and its description.
+func (r *Roster) RecordContact(now time.Time, m Member) {
 	if m.Address == "" || m.Address == r.self.Address {
 		return
 	}
@@ -140,8 +140,8 @@
 	r.peers[m.Address] = &peer{Member: m, lastContact: now}
 }
 
-// Lose records that a peer's process has ended or is unreachable.
-func (r *Roster) Lose(address string) {
+// MarkUnreachable records that a peer's process has ended or is unreachable.
+func (r *Roster) MarkUnreachable(address string) {
 	if p, ok := r.peers[address]; ok {
 		p.lastContact = time.Time{}
 		p.Term = 0
@@ -163,9 +163,9 @@
 
 func (r *Roster) contactTimeout(p *peer) time.Duration {
 	if p.Term > 0 {
-		return r.cfg.HomeSilence
+		return r.cfg.HomeContactTimeout
 	}
-	return r.cfg.Silence
+	return r.cfg.ContactTimeout
 }
 
 // Home returns the entry that acts as home, which may be this one. If there is no
@@ -247,7 +247,7 @@
 	})
 	var panel []string
 	for i := range members {
-		if i < r.cfg.Panel || members[i].Term > 0 {
+		if i < r.cfg.PanelSize || members[i].Term > 0 {
 			panel = append(panel, members[i].Address)
 		}
 	}
@@ -257,7 +257,7 @@
 // expirePeers removes entries that have been out of contact for Config.PeerRetention.
 func (r *Roster) expirePeers(now time.Time) {
 	for a, p := range r.peers {
-		if now.Sub(p.lastContact) > r.cfg.Forget {
+		if now.Sub(p.lastContact) > r.cfg.PeerRetention {
 			delete(r.peers, a)
 		}
 	}
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -9,9 +9,9 @@
 )
 
 var (
-	cfg   = roster.Config{HomeSilence: 350 * time.Millisecond, Silence: 1200 * time.Millisecond, Listen: 300 * time.Millisecond, Forget: time.Minute}
+	cfg   = roster.Config{HomeContactTimeout: 350 * time.Millisecond, ContactTimeout: 1200 * time.Millisecond, StartupWait: 300 * time.Millisecond, PeerRetention: time.Minute}
 	begin = time.Unix(1000, 0)
-	ready = begin.Add(cfg.Listen)
+	ready = begin.Add(cfg.StartupWait)
 )
 
 func member(name string, term uint64) roster.Member {
@@ -33,7 +33,7 @@
 
 func TestStrongestBecomesHomeAfterStartupWait(t *testing.T) {
 	r := newRoster("a")
-	r.Hear(begin, member("b", 0))
+	r.RecordContact(begin, member("b", 0))
 	wantHome(t, r, begin, "")
 	wantHome(t, r, ready, "a")
 	if r.Self(ready).Term != 1 {
@@ -43,7 +43,7 @@
 
 func TestHomeStaysAlthoughAStrongerEntryJoins(t *testing.T) {
 	r := newRoster("a")
-	r.Hear(ready, member("b", 3))
+	r.RecordContact(ready, member("b", 3))
 	wantHome(t, r, ready, "b")
 }
 
@@ -51,7 +51,7 @@
 	r := newRoster("a")
 	weak := member("b", 3)
 	weak.Cores = 0.2
-	r.Hear(ready, weak)
+	r.RecordContact(ready, weak)
 	wantHome(t, r, ready, "a")
 	if got := r.Self(ready).Term; got != 4 {
 		t.Errorf("term %d, want 4", got)
@@ -60,9 +60,9 @@
 
 func TestHomeOutOfContactIsReplaced(t *testing.T) {
 	r := newRoster("a")
-	r.Hear(ready, member("b", 3))
-	wantHome(t, r, ready.Add(cfg.HomeSilence), "b")
-	wantHome(t, r, ready.Add(cfg.HomeSilence+time.Millisecond), "a")
+	r.RecordContact(ready, member("b", 3))
+	wantHome(t, r, ready.Add(cfg.HomeContactTimeout), "b")
+	wantHome(t, r, ready.Add(cfg.HomeContactTimeout+time.Millisecond), "a")
 	if got := r.Self(ready).Term; got != 4 {
 		t.Errorf("term %d, want 4", got)
 	}
@@ -72,14 +72,14 @@
 	r := newRoster("b")
 	young := member("a", 0)
 	young.Young = true
-	r.Hear(ready, young)
+	r.RecordContact(ready, young)
 	wantHome(t, r, ready, "b")
 }
 
 func TestHomeOfLowerTermStepsDown(t *testing.T) {
 	r := newRoster("a")
 	wantHome(t, r, ready, "a")
-	r.Hear(ready, member("b", 2))
+	r.RecordContact(ready, member("b", 2))
 	wantHome(t, r, ready, "b")
 	if r.Self(ready).Term != 0 {
 		t.Error("entry a still acts as home")
@@ -90,23 +90,23 @@
 	r := newRoster("a")
 	isolated := member("b", 3)
 	isolated.Agents = 2
-	r.Hear(ready, isolated)
+	r.RecordContact(ready, isolated)
 	wantHome(t, r, ready, "a")
 }
 
 func TestLeavingEntryIsNotHome(t *testing.T) {
 	r := newRoster("a")
-	r.Hear(ready, member("b", 0))
+	r.RecordContact(ready, member("b", 0))
 	wantHome(t, r, ready, "a")
 	r.Leave()
 	wantHome(t, r, ready, "")
-	r.Hear(ready, member("b", 2))
+	r.RecordContact(ready, member("b", 2))
 	wantHome(t, r, ready, "b")
 }
 
 func TestPanelIsTheStrongestAndTheHome(t *testing.T) {
 	smallPanel := cfg
-	smallPanel.Panel = 2
+	smallPanel.PanelSize = 2
 	r := roster.New(begin, member("c", 0), smallPanel)
 	strong := member("d", 0)
 	strong.Cores = 0.8
@@ -115,7 +115,7 @@
 	leaving := member("a", 0)
 	leaving.Leaving = true
 	for _, m := range []roster.Member{strong, home, leaving, member("b", 0), member("e", 0)} {
-		r.Hear(ready, m)
+		r.RecordContact(ready, m)
 	}
 	if got, want := r.Panel(ready), []string{"d:1", "b:1", "z:1"}; !slices.Equal(got, want) {
 		t.Errorf("panel %v, want %v", got, want)
@@ -124,13 +124,13 @@
 
 func TestPanelOmitsEntriesOutOfContact(t *testing.T) {
 	smallPanel := cfg
-	smallPanel.Panel = 1
+	smallPanel.PanelSize = 1
 	r := roster.New(begin, member("b", 0), smallPanel)
-	r.Hear(begin, member("a", 0))
+	r.RecordContact(begin, member("a", 0))
 	if got := r.Panel(begin); !slices.Equal(got, []string{"a:1"}) {
 		t.Errorf("panel %v while a is in contact", got)
 	}
-	if got := r.Panel(begin.Add(cfg.Silence + time.Millisecond)); !slices.Equal(got, []string{"b:1"}) {
+	if got := r.Panel(begin.Add(cfg.ContactTimeout + time.Millisecond)); !slices.Equal(got, []string{"b:1"}) {
 		t.Errorf("panel %v while a is out of contact", got)
 	}
 }
@@ -139,19 +139,19 @@
 func TestViewFollowsEveryChange(t *testing.T) {
 	r := newRoster("c")
 	b := member("b", 3)
-	r.Hear(ready, b)
+	r.RecordContact(ready, b)
 	wantHome(t, r, ready, "b")
 	b.Leaving = true
-	r.Hear(ready, b)
+	r.RecordContact(ready, b)
 	wantHome(t, r, ready, "c")
-	r.Lose("b:1")
+	r.MarkUnreachable("b:1")
 	a := member("a", 9)
-	r.Hear(ready, a)
+	r.RecordContact(ready, a)
 	wantHome(t, r, ready, "a")
-	r.Lose("a:1")
+	r.MarkUnreachable("a:1")
 	wantHome(t, r, ready, "c")
-	late := ready.Add(cfg.HomeSilence + time.Millisecond)
-	r.Hear(late, member("a", 11))
+	late := ready.Add(cfg.HomeContactTimeout + time.Millisecond)
+	r.RecordContact(late, member("a", 11))
 	wantHome(t, r, late, "a")
-	wantHome(t, r, late.Add(cfg.HomeSilence+1), "c")
+	wantHome(t, r, late.Add(cfg.HomeContactTimeout+1), "c")
 }
--- a/schedule/report.go
+++ b/schedule/report.go
@@ -40,8 +40,8 @@
 	_, others := g.Used(home)
 	return Report{
 		Epoch:  g.Epoch(),
-		Target: t, Ready: serves && !g.Silent() && !g.Lapsing(), Settled: g.Settled() && !g.Lapsing(), Others: others,
-		Pace: g.Pace(), Idle: g.Idle(home), Slow: g.Slow(home), Events: g.Events(home, acked),
+		Target: t, Ready: serves && !g.OutOfContact() && !g.RenewalPaused(), Settled: g.Settled() && !g.RenewalPaused(), Others: others,
+		Pace: g.Pace(), Idle: g.StalledRuns(home), Slow: g.Slow(home), Events: g.Events(home, acked),
 	}
 }
 
--- a/schedule/straggler.go
+++ b/schedule/straggler.go
@@ -28,7 +28,7 @@
 type normalEnds []time.Time
 
 func (s *normalEnds) add(now time.Time, took, expected time.Duration) {
-	if float64(took) <= worker.SlowTimes*float64(expected) {
+	if float64(took) <= worker.SlowFactor*float64(expected) {
 		s.countRecent(now)
 		*s = append(*s, now)
 	}
--- a/site/agent.go
+++ b/site/agent.go
@@ -164,7 +164,7 @@
 			a.log.Info().Str("worker", rep.Target.ID).Msg("worker leaves")
 		}
 	} else {
-		a.guard.Report(a.now(), rep.Target, rep.Clock)
+		a.guard.TakeHeartbeat(a.now(), rep.Target, rep.Clock)
 	}
 	if after, ok := a.guard.Target(); ok != known || after.Draining != before.Draining || after.Born != before.Born {
 		a.log.Info().Str("worker", after.ID).Int64("born", after.Born).Bool("draining", after.Draining).Bool("serves", ok).
@@ -273,14 +273,14 @@
 func (a *Agent) retainsEnds() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.guard.Holding()
+	return a.guard.RetainsEnds()
 }
 
 // poll renews the lease and asks the worker for its runs and ends once. The worker
 // may wait for an end before it answers. The result reports whether it answered.
 func (a *Agent) poll(wait time.Duration) bool {
 	a.mu.Lock()
-	token, ackedEnd, until := a.guard.Token(), a.guard.Seen(), a.guard.Until(a.now())
+	token, ackedEnd, until := a.guard.Token(), a.guard.AckedEnd(), a.guard.LeaseUntil(a.now())
 	a.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), wait+pollSlack)
 	defer cancel()
@@ -291,37 +291,37 @@
 	switch {
 	case err != nil:
 		a.metrics.pollsFailed.Inc(1)
-		a.guard.LookFailed(now)
-		if a.guard.Silent() {
+		a.guard.PollFailed(now)
+		if a.guard.OutOfContact() {
 			a.logWorkerContact(true, err)
 			a.signalEvents()
 		}
 		return false
 	case !ans.Taken:
 		if ans.Reason == platform.ReasonFence {
-			a.guard.Fenced(now, ans.Clock, token)
+			a.guard.TokenRejected(now, ans.Clock, token)
 		}
 		a.log.Info().Str("reason", ans.Reason).Uint64("token", token).Msg("poll refused by the worker")
 		return ans.Reason == platform.ReasonFence
 	}
 	a.logWorkerContact(false, nil)
-	snapshot := worker.Look{Token: token, Born: ans.Born, Clock: ans.Clock, Running: make(map[work.Run]int, len(ans.Running)), Saved: make(map[work.Run]string)}
+	snapshot := worker.Snapshot{Token: token, Born: ans.Born, Clock: ans.Clock, Running: make(map[work.Run]int, len(ans.Running)), Checkpoints: make(map[work.Run]string)}
 	for _, r := range ans.Running {
 		snapshot.Running[r.Run] = r.Percent
 		if r.Checkpoint != "" {
-			snapshot.Saved[r.Run] = r.Checkpoint
+			snapshot.Checkpoints[r.Run] = r.Checkpoint
 		}
 	}
 	for _, e := range ans.Ended {
-		snapshot.Ended = append(snapshot.Ended, worker.Ended{Number: e.Number, Run: e.Run, End: e.End, Saved: e.Checkpoint})
+		snapshot.Ended = append(snapshot.Ended, worker.Ended{Number: e.Number, Run: e.Run, End: e.End, Checkpoint: e.Checkpoint})
 	}
 	runsBefore := a.guard.Running()
-	a.guard.Looked(now, snapshot)
+	a.guard.PollAnswered(now, snapshot)
 	a.executeOrders()
 	if a.guard.Running() != runsBefore {
 		a.signalEvents()
 	}
-	if a.guard.Unclear() {
+	if a.guard.HasUnclearRuns() {
 		go a.poll(0) // with the higher fencing token
 	}
 	return true
--- a/site/agent_methods.go
+++ b/site/agent_methods.go
@@ -17,7 +17,7 @@
 func (m *agentMethods) Sync(args *SyncArgs, reply *SyncReply) error {
 	a := m.a
 	a.mu.Lock()
-	a.guard.Hear(args.Home, fromStamp(args.Echo))
+	a.guard.RecordContact(args.Home, fromStamp(args.Echo))
 	if args.Life == a.life {
 		a.applyTenure(args)
 	}
@@ -59,18 +59,18 @@
 func (a *Agent) applyTenure(args *SyncArgs) {
 	t := &args.Tenure
 	before := a.guard.Epoch()
-	a.guard.Own(a.now(), args.Home, worker.Tenure{Epoch: t.Epoch, Vacant: t.Vacant, Owned: fromStamp(t.Owned)})
+	a.guard.ApplyTenure(a.now(), args.Home, worker.Tenure{Epoch: t.Epoch, Vacant: t.Vacant, RenewedAt: fromStamp(t.Owned)})
 	if after := a.guard.Epoch(); after != before {
-		runs, _ := a.guard.Kept()
+		runs, _ := a.guard.InheritedRuns()
 		a.log.Info().Str("home", args.Home).Uint64("epoch", after).Uint64("before", before).Int("runs", len(runs)).
-			Int("unsavedEnds", len(a.guard.Unsaved())).Uint64("seen", a.guard.Seen()).Msg("another home holds the ledger")
+			Int("unsavedEnds", len(a.guard.Uncommitted())).Uint64("seen", a.guard.AckedEnd()).Msg("another home holds the ledger")
 	}
 }
 
 // inheritedRuns returns the runs of stored jobs, which a new holder of the ledger
 // adopts. The caller holds mu.
 func (a *Agent) inheritedRuns() []schedule.Kept {
-	runs, orderedAt := a.guard.Kept()
+	runs, orderedAt := a.guard.InheritedRuns()
 	kept := make([]schedule.Kept, len(runs))
 	for i, r := range runs {
 		kept[i] = schedule.Kept{Run: r, Age: a.now().Sub(orderedAt[i])}
--- a/site/entry_peers.go
+++ b/site/entry_peers.go
@@ -78,7 +78,7 @@
 // takeGreeting processes a greeting of another entry.
 func (e *Entry) takeGreeting(g *GreetReply) {
 	e.mu.Lock()
-	e.roster.Hear(e.now(), g.Member)
+	e.roster.RecordContact(e.now(), g.Member)
 	if home, ok := e.roster.Home(e.now()); ok && home.Life == g.Member.Life {
 		e.waiting = g.Waiting
 	}
--- a/site/entry_run.go
+++ b/site/entry_run.go
@@ -99,7 +99,7 @@
 func (e *Entry) homeLost(m roster.Member) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.roster.Lose(m.Address)
+	e.roster.MarkUnreachable(m.Address)
 }
 
 // runAt hands a job to a home and waits for the outcome.
--- a/site/home.go
+++ b/site/home.go
@@ -120,7 +120,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_, running := h.core.Load()
-	return running > 0 || len(h.waiters) > 0 || h.ledger.Held() && h.ledger.Changed()
+	return running > 0 || len(h.waiters) > 0 || h.ledger.Held() && h.ledger.HasChanges()
 }
 
 func (h *home) waiting(queue string) int {
--- a/site/home_ledger.go
+++ b/site/home_ledger.go
@@ -49,9 +49,9 @@
 	}
 	h.lastStoreCall = now
 	if !isHome {
-		h.ledger.Doubt()
+		h.ledger.InvalidateVacant()
 	}
-	holderKnown := h.ledger.Epoch() > 0 || h.ledger.Known() && h.holderTerm == m.Term
+	holderKnown := h.ledger.Epoch() > 0 || h.ledger.HolderKnown() && h.holderTerm == m.Term
 	switch {
 	case isHome && !holderKnown:
 		h.mu.Unlock()
@@ -61,13 +61,13 @@
 		return h.loadOpen()
 	case isHome:
 		h.acquireLedger()
-	case h.ledger.Held() && ok && now.Sub(h.ledger.Sent()) < yieldCommitInterval:
+	case h.ledger.Held() && ok && now.Sub(h.ledger.SentAt()) < yieldCommitInterval:
 		// The new home needs a gap between commits in which it can take the ledger.
 		h.mu.Unlock()
 		return minCommitInterval
 	}
 	next, err := h.ledger.Next(now, h.e.wall())
-	incomplete := h.ledger.Held() && !h.ledger.Whole()
+	incomplete := h.ledger.Held() && !h.ledger.EndedLoaded()
 	h.mu.Unlock()
 	switch {
 	case err != nil:
@@ -86,7 +86,7 @@
 func (h *home) untilLedgerWork() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.ledger.Changed() {
+	if h.ledger.HasChanges() {
 		return minCommitInterval
 	}
 	return idleTickInterval
@@ -101,7 +101,7 @@
 		return h.storeUnanswered(h.e.now(), err)
 	}
 	h.holderTerm = term
-	if err := h.ledger.Find(it); err != nil {
+	if err := h.ledger.SetHolder(it); err != nil {
 		h.e.log.Error().Err(err).Msg("ledger: cannot decode the holder")
 		return tenureRenewInterval
 	}
@@ -115,7 +115,7 @@
 	if h.ledger.Vacant() && !h.storeRequested || h.e.now().Sub(h.deposedAt) < reacquireDelay {
 		return
 	}
-	h.ledger.Claim()
+	h.ledger.Acquire()
 }
 
 // loadOpen reads the open jobs after this entry has acquired the ledger.
@@ -131,7 +131,7 @@
 		return tenureRenewInterval
 	}
 	now := h.e.now()
-	h.previousAgents, h.clear = h.ledger.Enrolled(), h.ledger.Owned().Add(previousRunsEndAfter)
+	h.previousAgents, h.clear = h.ledger.Enrolled(), h.ledger.RenewedAt().Add(previousRunsEndAfter)
 	h.updateTenure(now)
 	open := h.ledger.Open()
 	for _, j := range open {
@@ -178,7 +178,7 @@
 	t := schedule.Tenure{}
 	if h.ledger.Held() {
 		t = schedule.Tenure{
-			Epoch: h.ledger.Epoch(), Until: h.ledger.Owned().Add(tenureDuration - tenureMargin),
+			Epoch: h.ledger.Epoch(), Until: h.ledger.RenewedAt().Add(tenureDuration - tenureMargin),
 			Agents: make(map[string]bool), PreviousAgents: h.previousAgents, LeasesEndAt: h.clear,
 		}
 		for _, a := range h.ledger.Enrolled() {
@@ -189,17 +189,17 @@
 }
 
 // sendCommit sends a commit and processes its result.
-func (h *home) sendCommit(pending *ledger.Flight) {
+func (h *home) sendCommit(pending *ledger.PendingCommit) {
 	defer h.notifyLedger()
 	rev, err := h.route.commit(pending.Commit())
 	conflict, conflicts := errors.AsType[*store.ConflictError](err)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.e.now()
-	var changes []ledger.Fact
+	var changes []ledger.Change
 	switch {
 	case err == nil:
-		changes = h.ledger.Took(pending, rev)
+		changes = h.ledger.Committed(pending, rev)
 	case conflicts:
 		var deposed bool
 		if changes, deposed, err = h.ledger.Conflict(pending, conflict.Have); err != nil {
@@ -216,7 +216,7 @@
 		h.storeUnanswered(now, err)
 		return
 	default:
-		h.ledger.Lost(now, pending)
+		h.ledger.Unanswered(now, pending)
 		h.storeUnanswered(now, err)
 		return
 	}
@@ -245,7 +245,7 @@
 }
 
 // onCommitted does what has waited for a change to be committed. The caller holds mu.
-func (h *home) onCommitted(now time.Time, change *ledger.Fact) {
+func (h *home) onCommitted(now time.Time, change *ledger.Change) {
 	switch change.Kind {
 	case ledger.Accepted:
 		if j, ok := h.ledger.Job(change.Job); ok && j.State == "" {
@@ -253,7 +253,7 @@
 		}
 		h.answerAcceptWaiters(change.Job, AcceptReply{Outcome: work.Outcome{State: work.Queued}})
 	case ledger.RunEnded:
-		h.core.EventCommitted(change.Mark.Agent, change.Mark.Life, change.Mark.Seq)
+		h.core.EventCommitted(change.Event.Agent, change.Event.Life, change.Event.Seq)
 	case ledger.JobEnded:
 		if change.State == work.Cancelled {
 			h.core.Cancel(now, change.Job)
@@ -270,12 +270,12 @@
 // caller holds mu.
 func (h *home) recordDecisions(d *schedule.Decisions) {
 	for _, runEnd := range d.RunEnds {
-		h.ledger.End(runEnd.Run.Task, runEnd.End, ledger.Mark{Agent: runEnd.Agent, Life: runEnd.Life, Seq: runEnd.Seq})
+		h.ledger.EndRun(runEnd.Run.Task, runEnd.End, ledger.EventRef{Agent: runEnd.Agent, Life: runEnd.Life, Seq: runEnd.Seq})
 	}
 	for _, answer := range d.Outcomes {
-		h.ledger.Close(h.e.wall(), answer.Job, answer.Outcome.State)
+		h.ledger.EndJob(h.e.wall(), answer.Job, answer.Outcome.State)
 	}
-	if h.ledger.Changed() {
+	if h.ledger.HasChanges() {
 		h.notifyLedger()
 	}
 }
@@ -293,7 +293,7 @@
 	}
 	for _, a := range h.ledger.Enrolled() {
 		if !h.core.MayHaveStoredRuns(now, a) && now.After(h.clear) {
-			h.ledger.Dismiss(a)
+			h.ledger.Unenroll(a)
 			h.updateTenure(now)
 		}
 	}
--- a/site/home_route.go
+++ b/site/home_route.go
@@ -180,5 +180,5 @@
 }
 
 func ledgerConfig(n *platform.Node) ledger.Config {
-	return ledger.Config{Keep: n.StatusKept + extraStatusRetention, Refresh: tenureRenewInterval, Gap: minCommitInterval, Entries: maxCommitEntries, Flights: maxPendingCommits}
+	return ledger.Config{EndedRetention: n.StatusKept + extraStatusRetention, RenewalInterval: tenureRenewInterval, CommitInterval: minCommitInterval, MaxCommitEntries: maxCommitEntries, MaxInFlight: maxPendingCommits}
 }
--- a/site/home_stored.go
+++ b/site/home_stored.go
@@ -37,7 +37,7 @@
 	id := args.Job.ID
 	h.mu.Lock()
 	now := h.e.now()
-	if !h.isHome() || !h.ledger.Whole() {
+	if !h.isHome() || !h.ledger.EndedLoaded() {
 		h.storeRequested = true
 		h.mu.Unlock()
 		h.notifyLedger()
@@ -78,7 +78,7 @@
 // so. The caller holds mu.
 func (h *home) checkAdmission(now time.Time, w *work.Job) (out work.Outcome, rejected bool) {
 	reason, retry := h.core.Admit(now, w)
-	if outage := h.ledger.Stalled(now); outage > maxStoreOutage {
+	if outage := h.ledger.StoreOutage(now); outage > maxStoreOutage {
 		reason, retry = "the store does not answer", outage
 	}
 	if reason == "" {
@@ -143,7 +143,7 @@
 	switch {
 	case !ok || !h.ledger.Stored(id):
 		return StateReply{}
-	case j.State != "" && !h.ledger.Pending(id):
+	case j.State != "" && !h.ledger.EndPending(id):
 		return StateReply{State: j.State}
 	case h.core.SentAny(id):
 		return StateReply{State: work.Running}
@@ -163,8 +163,8 @@
 		h.mu.Unlock()
 		return StateReply{}
 	}
-	h.ledger.Close(h.e.wall(), id, work.Cancelled)
-	if !h.ledger.Pending(id) {
+	h.ledger.EndJob(h.e.wall(), id, work.Cancelled)
+	if !h.ledger.EndPending(id) {
 		h.mu.Unlock()
 		return StateReply{State: j.State}
 	}
--- a/site/link.go
+++ b/site/link.go
@@ -142,7 +142,7 @@
 	}
 	t.Epoch = h.ledger.Epoch()
 	// At echoReceived, the agent's time was at least echo.
-	t.Owned = l.echo + h.ledger.Owned().Sub(l.echoReceived)
+	t.Owned = l.echo + h.ledger.RenewedAt().Sub(l.echoReceived)
 	t.Kept = !h.core.TenureConfirmed(l.agent)
 	return t
 }
--- a/site/site.go
+++ b/site/site.go
@@ -128,7 +128,7 @@
 
 // GuardConfig returns the limits of an agent's guard.
 func GuardConfig(n *platform.Node) worker.Config {
-	return worker.Config{Lease: workerLease, LongestLease: n.LongestLease, Contact: stopRunsAfter, Handover: stopStoredRunsAfter, OrderLife: orderMaxAge, Forget: peerRetention, Silence: workerContactTimeout, Tenure: tenureDuration, IdleAge: stallAge}
+	return worker.Config{Lease: workerLease, LongestLease: n.LongestLease, EntryContactTimeout: stopRunsAfter, HolderContactTimeout: stopStoredRunsAfter, OrderMaxAge: orderMaxAge, EventRetention: peerRetention, WorkerContactTimeout: workerContactTimeout, TenureMaxAge: tenureDuration, StallAge: stallAge}
 }
 
 // HomeConfig returns the limits of a home's scheduler core.
@@ -140,5 +140,5 @@
 }
 
 func rosterConfig() roster.Config {
-	return roster.Config{HomeSilence: homeContactTimeout, Silence: peerContactTimeout, Listen: startupWait, Forget: peerRetention, Panel: panelSize}
+	return roster.Config{HomeContactTimeout: homeContactTimeout, ContactTimeout: peerContactTimeout, StartupWait: startupWait, PeerRetention: peerRetention, PanelSize: panelSize}
 }
--- a/worker/entry.go
+++ b/worker/entry.go
@@ -26,8 +26,8 @@
 	lastSeq     uint64
 }
 
-// Hear records contact with an entry: the entry has echoed a time of the agent's clock.
-func (g *Guard) Hear(entry string, echo time.Time) {
+// RecordContact records contact with an entry: the entry has echoed a time of the agent's clock.
+func (g *Guard) RecordContact(entry string, echo time.Time) {
 	s := g.homeState(entry)
 	if echo.After(s.lastContact) {
 		s.lastContact = echo
@@ -79,7 +79,7 @@
 	g.expireOutOfContact(now)
 	g.resumeRenewal(now)
 	for name, s := range g.homes {
-		if now.Sub(s.lastContact) > g.cfg.Forget && !g.hasRuns(name) {
+		if now.Sub(s.lastContact) > g.cfg.EventRetention && !g.hasRuns(name) {
 			delete(g.homes, name)
 		}
 	}
@@ -90,9 +90,9 @@
 // entry may take over runs of stored jobs, which takes longer than to declare them lost.
 func (g *Guard) maxSilence(r *run) time.Duration {
 	if r.start.Stored {
-		return g.cfg.Handover
+		return g.cfg.HolderContactTimeout
 	}
-	return g.cfg.Contact
+	return g.cfg.EntryContactTimeout
 }
 
 func (g *Guard) hasRuns(entry string) bool {
--- a/worker/order.go
+++ b/worker/order.go
@@ -17,7 +17,7 @@
 // Order takes starts and stops from an entry. Starts that are refused produce
 // events at once.
 func (g *Guard) Order(now time.Time, entry string, echo time.Time, starts []work.Start, stops []work.Run) {
-	g.Hear(entry, echo)
+	g.RecordContact(entry, echo)
 	for _, r := range stops {
 		if known, ok := g.runs[r.Task]; ok && known.start.Run == r {
 			g.stop(now, known)
@@ -51,7 +51,7 @@
 		return Unready
 	case s.Stored && !g.holdsTenure(now, entry):
 		return Untenured
-	case now.Sub(echo) > g.cfg.OrderLife:
+	case now.Sub(echo) > g.cfg.OrderMaxAge:
 		return StaleEcho
 	case occupied:
 		return Occupied
@@ -63,7 +63,7 @@
 
 func (g *Guard) sendStart(now time.Time, r *run) {
 	r.phase, r.token = ordered, g.token
-	g.orders = append(g.orders, Order{Start: r.start, Token: g.token, Until: g.Until(now)})
+	g.orders = append(g.orders, Order{Start: r.start, Token: g.token, Until: g.LeaseUntil(now)})
 }
 
 func (g *Guard) stop(now time.Time, r *run) {
@@ -100,7 +100,7 @@
 		g.sendStart(now, known)
 	default:
 		if tokenRejected {
-			g.Fenced(now, 0, known.token)
+			g.TokenRejected(now, 0, known.token)
 		}
 		g.finish(now, r.Task, work.Refused, reason)
 	}
--- a/worker/poll.go
+++ b/worker/poll.go
@@ -21,28 +21,28 @@
 	return g.clockReadAt.Add(remaining + leaseSlack)
 }
 
-// Look is the state of a worker as the answer to a poll shows it.
-type Look struct {
-	Token   uint64 // of the poll
-	Born    int64
-	Clock   time.Duration
-	Running map[work.Run]int    // percent of the work done
-	Saved   map[work.Run]string // of active runs that have one
-	Ended   []Ended             // by ascending number
+// Snapshot is the state of a worker as the answer to a poll shows it.
+type Snapshot struct {
+	Token       uint64 // of the poll
+	Born        int64
+	Clock       time.Duration
+	Running     map[work.Run]int    // percent of the work done
+	Checkpoints map[work.Run]string // of active runs that have one
+	Ended       []Ended             // by ascending number
 }
 
 // Ended is an end that the worker lists.
 type Ended struct {
-	Number uint64
-	Run    work.Run
-	End    work.End
-	Saved  string // checkpoint; empty if there is none
+	Number     uint64
+	Run        work.Run
+	End        work.End
+	Checkpoint string // checkpoint; empty if there is none
 }
 
-// Fenced records that the worker has rejected askedToken, that of a poll or a start,
+// TokenRejected records that the worker has rejected askedToken, that of a poll or a start,
 // since it has seen a higher one. The worker does not say which, so the token rises by
 // more with each consecutive rejection.
-func (g *Guard) Fenced(now time.Time, clock time.Duration, askedToken uint64) {
+func (g *Guard) TokenRejected(now time.Time, clock time.Duration, askedToken uint64) {
 	g.updateClock(now, clock)
 	if askedToken < g.token {
 		return // it has risen since
@@ -56,8 +56,8 @@
 // reaches the highest token of an incarnation of an hour in 19 rejections.
 const firstTokenStep = 8
 
-// Looked processes the answer to a poll.
-func (g *Guard) Looked(now time.Time, snapshot Look) {
+// PollAnswered processes the answer to a poll.
+func (g *Guard) PollAnswered(now time.Time, snapshot Snapshot) {
 	g.handleWorkerRestart(now, snapshot.Born, snapshot.Clock)
 	if snapshot.Born != 0 && snapshot.Born < g.target.Born {
 		return
@@ -76,8 +76,8 @@
 		}
 		g.lastEnd = e.Number
 		if r, ok := g.runs[e.Run.Task]; ok && r.start.Run == e.Run {
-			if e.Saved != "" {
-				r.checkpoint = e.Saved
+			if e.Checkpoint != "" {
+				r.checkpoint = e.Checkpoint
 			}
 			g.finishListed(now, e.Run.Task, e.Number, e.End, "")
 		}
@@ -87,7 +87,7 @@
 }
 
 // reconcile compares the runs with those that the worker listed, and stops unknown ones.
-func (g *Guard) reconcile(now time.Time, snapshot Look) {
+func (g *Guard) reconcile(now time.Time, snapshot Snapshot) {
 	g.settled = true
 	for _, r := range slices.SortedFunc(maps.Keys(snapshot.Running), func(a, b work.Run) int { return cmp.Or(a.Task.Compare(b.Task), a.Number-b.Number) }) {
 		known, ok := g.runs[r.Task]
@@ -97,7 +97,7 @@
 			continue
 		}
 		g.updateProgress(now, known, snapshot.Running[r])
-		if checkpoint := snapshot.Saved[r]; checkpoint != "" {
+		if checkpoint := snapshot.Checkpoints[r]; checkpoint != "" {
 			known.checkpoint = checkpoint
 		}
 		if known.phase == unclear {
@@ -134,10 +134,10 @@
 		r.percent, r.lastProgress = percent, now
 	}
 	r.slowProjection = 0
-	if took := r.projectRunTime(now); r.start.Expected > 0 && float64(took) > SlowTimes*float64(r.start.Expected) {
+	if took := r.projectRunTime(now); r.start.Expected > 0 && float64(took) > SlowFactor*float64(r.start.Expected) {
 		r.slowProjection = took
 	}
-	r.stalled = percent < 100 && now.Sub(r.lastProgress) > max(g.cfg.IdleAge, r.start.Estimate/stallDivisor)
+	r.stalled = percent < 100 && now.Sub(r.lastProgress) > max(g.cfg.StallAge, r.start.Estimate/stallDivisor)
 }
 
 // projectRunTime returns the shortest run time that is consistent with a run's progress.
@@ -150,10 +150,10 @@
 // run to its start, and from an answer to its arrival.
 const maxOrderDelay = 5 * time.Millisecond
 
-// SlowTimes is the factor over the expected run time at which a run is reported as
+// SlowFactor is the factor over the expected run time at which a run is reported as
 // slow. Estimates are off by 40%, which alone accounts for a lower factor in 99 of
 // 100 runs.
-const SlowTimes = 2.5
+const SlowFactor = 2.5
 
 // Projection is the shortest time that a slow run will take.
 type Projection struct {
@@ -181,9 +181,9 @@
 // again; a worker takes at most 50 ms to stop a run.
 const stopRetryInterval = 100 * time.Millisecond
 
-// LookFailed records that the worker did not answer a poll.
-func (g *Guard) LookFailed(now time.Time) {
-	g.outOfContact = now.Sub(g.lastPoll) > g.cfg.Silence
+// PollFailed records that the worker did not answer a poll.
+func (g *Guard) PollFailed(now time.Time) {
+	g.outOfContact = now.Sub(g.lastPoll) > g.cfg.WorkerContactTimeout
 	g.expireRuns(now)
 }
 
@@ -197,8 +197,8 @@
 	}
 }
 
-// Idle returns the runs of an entry that are stalled.
-func (g *Guard) Idle(entry string) []work.Run {
+// StalledRuns returns the runs of an entry that are stalled.
+func (g *Guard) StalledRuns(entry string) []work.Run {
 	var stalled []work.Run
 	for _, ref := range g.sortedTasks() {
 		r := g.runs[ref]
--- a/worker/tenure.go
+++ b/worker/tenure.go
@@ -17,14 +17,14 @@
 // Tenure is the right of an entry to have tasks of stored jobs run here: the
 // ledger holder's term.
 type Tenure struct {
-	Epoch  uint64    // the highest is valid; 0 if the entry has no such right
-	Vacant bool      // the site stores no jobs
-	Owned  time.Time // on the agent's clock, the last time at which the tenure was known to hold
+	Epoch     uint64    // the highest is valid; 0 if the entry has no such right
+	Vacant    bool      // the site stores no jobs
+	RenewedAt time.Time // on the agent's clock, the last time at which the tenure was known to hold
 }
 
-// Own applies an entry's tenure. The first entry with a higher epoch takes over
+// ApplyTenure applies an entry's tenure. The first entry with a higher epoch takes over
 // the runs of stored jobs and the events that are not committed.
-func (g *Guard) Own(now time.Time, entry string, t Tenure) {
+func (g *Guard) ApplyTenure(now time.Time, entry string, t Tenure) {
 	switch {
 	case t.Vacant && g.tenure.Epoch == 0:
 		g.mayListInherited, g.renewalPausedAt = false, time.Time{}
@@ -32,8 +32,8 @@
 	case t.Epoch < g.tenure.Epoch || t.Epoch == 0:
 		return
 	case t.Epoch == g.tenure.Epoch:
-		if t.Owned.After(g.tenure.Owned) {
-			g.tenure.Owned = t.Owned
+		if t.RenewedAt.After(g.tenure.RenewedAt) {
+			g.tenure.RenewedAt = t.RenewedAt
 		}
 		return
 	}
@@ -71,9 +71,9 @@
 	return g.tenure.Epoch
 }
 
-// Kept returns the runs of stored jobs, which a new holder inherits, and the times
+// InheritedRuns returns the runs of stored jobs, which a new holder inherits, and the times
 // of their orders.
-func (g *Guard) Kept() (runs []work.Run, orderedAt []time.Time) {
+func (g *Guard) InheritedRuns() (runs []work.Run, orderedAt []time.Time) {
 	for _, ref := range g.sortedTasks() {
 		if r := g.runs[ref]; r.start.Stored {
 			runs, orderedAt = append(runs, r.start.Run), append(orderedAt, r.orderedAt)
@@ -84,14 +84,14 @@
 
 // holdsTenure reports whether an entry may have tasks of stored jobs run here.
 func (g *Guard) holdsTenure(now time.Time, entry string) bool {
-	return entry == g.holder && g.renewalPausedAt.IsZero() && !g.tenure.Owned.Before(g.startedAt) && now.Sub(g.tenure.Owned) <= g.cfg.Tenure
+	return entry == g.holder && g.renewalPausedAt.IsZero() && !g.tenure.RenewedAt.Before(g.startedAt) && now.Sub(g.tenure.RenewedAt) <= g.cfg.TenureMaxAge
 }
 
 // takeFirstSnapshot processes the first poll of this Guard. The snapshot shows
 // runs and ends of an earlier incarnation of the agent, which may be of stored
 // jobs. So all ends are retained until the worker's lease has expired, or an entry
 // reports that the site stores no jobs.
-func (g *Guard) takeFirstSnapshot(now time.Time, snapshot *Look) {
+func (g *Guard) takeFirstSnapshot(now time.Time, snapshot *Snapshot) {
 	if !g.lastPoll.IsZero() || len(snapshot.Running) == 0 && len(snapshot.Ended) == 0 {
 		return
 	}
@@ -111,7 +111,7 @@
 // are not committed, when the holder may have declared them lost.
 func (g *Guard) expireOutOfContact(now time.Time) {
 	s, ok := g.homes[g.holder]
-	if g.holder == "" || ok && now.Sub(s.lastContact) <= g.cfg.Handover && now.Sub(g.tenure.Owned) <= g.cfg.Tenure {
+	if g.holder == "" || ok && now.Sub(s.lastContact) <= g.cfg.HolderContactTimeout && now.Sub(g.tenure.RenewedAt) <= g.cfg.TenureMaxAge {
 		return
 	}
 	hasStored := len(g.uncommitted) > 0
@@ -158,8 +158,8 @@
 	g.uncommitted = slices.DeleteFunc(g.uncommitted, func(n uint64) bool { return n == endNumber })
 }
 
-// Seen returns the number up to which the worker may drop ends.
-func (g *Guard) Seen() uint64 {
+// AckedEnd returns the number up to which the worker may drop ends.
+func (g *Guard) AckedEnd() uint64 {
 	switch {
 	case g.mayListInherited:
 		return 0
@@ -169,13 +169,13 @@
 	return g.lastEnd
 }
 
-// Unsaved returns the numbers of the ends that the worker must retain until they
+// Uncommitted returns the numbers of the ends that the worker must retain until they
 // are committed.
-func (g *Guard) Unsaved() []uint64 { return g.uncommitted }
+func (g *Guard) Uncommitted() []uint64 { return g.uncommitted }
 
-// Holding reports whether the worker must retain ends that it lists. A poll that
+// RetainsEnds reports whether the worker must retain ends that it lists. A poll that
 // waits for an end then returns at once.
-func (g *Guard) Holding() bool { return g.mayListInherited || len(g.uncommitted) > 0 }
+func (g *Guard) RetainsEnds() bool { return g.mayListInherited || len(g.uncommitted) > 0 }
 
-// Lapsing reports whether the lease of the worker is not renewed.
-func (g *Guard) Lapsing() bool { return !g.renewalPausedAt.IsZero() }
+// RenewalPaused reports whether the lease of the worker is not renewed.
+func (g *Guard) RenewalPaused() bool { return !g.renewalPausedAt.IsZero() }
--- a/worker/tenure_test.go
+++ b/worker/tenure_test.go
@@ -10,8 +10,8 @@
 
 // applyTenure gives an entry the tenure of an epoch.
 func (d *driver) applyTenure(entry string, epoch uint64) {
-	d.g.Hear(entry, d.now)
-	d.g.Own(d.now, entry, worker.Tenure{Epoch: epoch, Owned: d.now})
+	d.g.RecordContact(entry, d.now)
+	d.g.ApplyTenure(d.now, entry, worker.Tenure{Epoch: epoch, RenewedAt: d.now})
 }
 
 func storedStart(index, number int) work.Start {
@@ -23,12 +23,12 @@
 // answerPollWithEnd answers a poll that lists one end.
 func (d *driver) answerPollWithEnd(end work.End, r work.Run) {
 	d.lastEnd++
-	d.g.Looked(d.now, worker.Look{Token: d.g.Token(), Born: d.born, Clock: d.clock, Ended: []worker.Ended{{Number: d.lastEnd, Run: r, End: end}}})
+	d.g.PollAnswered(d.now, worker.Snapshot{Token: d.g.Token(), Born: d.born, Clock: d.clock, Ended: []worker.Ended{{Number: d.lastEnd, Run: r, End: end}}})
 }
 
 func newDriverWithTenure(t *testing.T) *driver {
 	d := newDriver(t)
-	d.g.Own(d.now, "e1", worker.Tenure{Vacant: true})
+	d.g.ApplyTenure(d.now, "e1", worker.Tenure{Vacant: true})
 	d.answerPoll(0)
 	d.applyTenure("e1", 1)
 	return d
@@ -39,12 +39,12 @@
 	d.order(storedStart(0, 1))
 	d.g.Started(d.now, run(0, 1), "", false)
 	d.answerPollWithEnd(work.Done, run(0, 1))
-	if got := d.g.Seen(); got != 0 {
+	if got := d.g.AckedEnd(); got != 0 {
 		t.Fatalf("the worker may drop ends up to %d before they are committed", got)
 	}
 	e := d.lastEvent(work.Done)
 	d.g.Events("e1", e.Seq)
-	if got := d.g.Seen(); got != 1 {
+	if got := d.g.AckedEnd(); got != 1 {
 		t.Errorf("the worker may drop ends up to %d after the commit", got)
 	}
 }
@@ -55,14 +55,14 @@
 	d.g.Started(d.now, run(0, 1), "", false)
 	d.g.Started(d.now, run(1, 1), "", false)
 	d.lastEnd++
-	d.g.Looked(d.now, worker.Look{Token: d.g.Token(), Born: d.born, Clock: d.clock,
+	d.g.PollAnswered(d.now, worker.Snapshot{Token: d.g.Token(), Born: d.born, Clock: d.clock,
 		Running: map[work.Run]int{run(1, 1): 10}, Ended: []worker.Ended{{Number: 1, Run: run(0, 1), End: work.Done}}})
 	d.applyTenure("e2", 2)
 	events := d.g.Events("e2", 0)
 	if len(events) != 1 || events[0].Run != run(0, 1) || events[0].End != work.Done {
 		t.Errorf("events for the next holder: %+v", events)
 	}
-	if inherited, _ := d.g.Kept(); len(inherited) != 1 || inherited[0] != run(1, 1) {
+	if inherited, _ := d.g.InheritedRuns(); len(inherited) != 1 || inherited[0] != run(1, 1) {
 		t.Errorf("inherited runs %v", inherited)
 	}
 	if n := len(d.g.Events("e1", 0)); n != 0 {
@@ -78,7 +78,7 @@
 	d := newDriverWithTenure(t)
 	for range 60 { // the entry stays in contact
 		d.advance(100 * time.Millisecond)
-		d.g.Hear("e1", d.now)
+		d.g.RecordContact("e1", d.now)
 		d.answerPoll(0)
 		d.g.Tick(d.now)
 	}
@@ -98,19 +98,19 @@
 	d.order(storedStart(0, 1))
 	d.g.Started(d.now, run(0, 1), "", false)
 	d.answerPollWithEnd(work.Done, run(0, 1))
-	d.advance(cfg.Handover + 50*time.Millisecond)
+	d.advance(cfg.HolderContactTimeout + 50*time.Millisecond)
 	d.g.Tick(d.now)
-	if until := d.g.Until(d.now); until != 0 || !d.g.Lapsing() {
+	if until := d.g.LeaseUntil(d.now); until != 0 || !d.g.RenewalPaused() {
 		t.Fatalf("lease renewed until %v", until)
 	}
 	d.lastEvent(work.Lapsed)
-	if d.g.Seen() != 0 {
+	if d.g.AckedEnd() != 0 {
 		t.Fatal("the worker may drop the end before the lease has expired")
 	}
 	d.advance(cfg.LongestLease + 100*time.Millisecond)
 	d.answerPoll(0)
-	if d.g.Lapsing() || d.g.Seen() != 1 {
-		t.Errorf("after the lease: renewal paused %t, acknowledged end %d", d.g.Lapsing(), d.g.Seen())
+	if d.g.RenewalPaused() || d.g.AckedEnd() != 1 {
+		t.Errorf("after the lease: renewal paused %t, acknowledged end %d", d.g.RenewalPaused(), d.g.AckedEnd())
 	}
 }
 
@@ -119,8 +119,8 @@
 	newDriverWithEnd := func(t *testing.T) *driver {
 		d := newDriver(t)
 		d.answerPollWithEnd(work.Done, run(0, 1))
-		if d.g.Seen() != 0 || d.g.Until(d.now) != 0 {
-			t.Fatalf("acknowledged end %d, lease until %v", d.g.Seen(), d.g.Until(d.now))
+		if d.g.AckedEnd() != 0 || d.g.LeaseUntil(d.now) != 0 {
+			t.Fatalf("acknowledged end %d, lease until %v", d.g.AckedEnd(), d.g.LeaseUntil(d.now))
 		}
 		return d
 	}
@@ -129,20 +129,20 @@
 		d.applyTenure("e1", 1)
 		d.advance(cfg.LongestLease / 2)
 		d.answerPoll(0)
-		if d.g.Seen() != 0 {
+		if d.g.AckedEnd() != 0 {
 			t.Error("the worker may drop the end before the lease has expired")
 		}
 		d.advance(cfg.LongestLease)
 		d.answerPoll(0)
-		if d.g.Seen() != 1 || d.g.Epoch() != 1 {
-			t.Errorf("after the lease: acknowledged end %d, epoch %d", d.g.Seen(), d.g.Epoch())
+		if d.g.AckedEnd() != 1 || d.g.Epoch() != 1 {
+			t.Errorf("after the lease: acknowledged end %d, epoch %d", d.g.AckedEnd(), d.g.Epoch())
 		}
 	})
 	t.Run("nothing is stored", func(t *testing.T) {
 		d := newDriverWithEnd(t)
-		d.g.Own(d.now, "e1", worker.Tenure{Vacant: true})
-		if d.g.Seen() != 1 || d.g.Until(d.now) == 0 {
-			t.Errorf("acknowledged end %d, lease until %v", d.g.Seen(), d.g.Until(d.now))
+		d.g.ApplyTenure(d.now, "e1", worker.Tenure{Vacant: true})
+		if d.g.AckedEnd() != 1 || d.g.LeaseUntil(d.now) == 0 {
+			t.Errorf("acknowledged end %d, lease until %v", d.g.AckedEnd(), d.g.LeaseUntil(d.now))
 		}
 	})
 }
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -49,14 +49,14 @@
 type Config struct {
 	Lease time.Duration // of the worker's runs; renewed with every poll
 	// LongestLease is the longest lease that the worker grants, whatever is requested.
-	LongestLease time.Duration
-	Contact      time.Duration // longest time without contact to an entry before its runs are stopped
-	Handover     time.Duration // longest time without contact to the ledger's holder before runs of stored jobs are stopped
-	OrderLife    time.Duration // highest age of the echo of an order that is accepted
-	Forget       time.Duration // how long the events of an entry out of contact are retained
-	Silence      time.Duration // time without an answered poll after which the worker gets no task
-	Tenure       time.Duration // how long a tenure is valid after its last confirmed renewal
-	IdleAge      time.Duration // shortest time without progress after which a run is stalled
+	LongestLease         time.Duration
+	EntryContactTimeout  time.Duration // longest time without contact to an entry before its runs are stopped
+	HolderContactTimeout time.Duration // longest time without contact to the ledger's holder before runs of stored jobs are stopped
+	OrderMaxAge          time.Duration // highest age of the echo of an order that is accepted
+	EventRetention       time.Duration // how long the events of an entry out of contact are retained
+	WorkerContactTimeout time.Duration // time without an answered poll after which the worker gets no task
+	TenureMaxAge         time.Duration // how long a tenure is valid after its last confirmed renewal
+	StallAge             time.Duration // shortest time without progress after which a run is stalled
 }
 
 // phase is the state of a run.
@@ -127,14 +127,14 @@
 // Settled reports whether the worker has no runs that this Guard did not order.
 func (g *Guard) Settled() bool { return g.settled }
 
-// Silent reports whether the worker has not answered polls for a while.
-func (g *Guard) Silent() bool { return g.outOfContact }
+// OutOfContact reports whether the worker has not answered polls for a while.
+func (g *Guard) OutOfContact() bool { return g.outOfContact }
 
 // Running returns the number of runs that may be active.
 func (g *Guard) Running() int { return len(g.runs) }
 
-// Report takes a heartbeat of the worker.
-func (g *Guard) Report(now time.Time, t work.Target, clock time.Duration) {
+// TakeHeartbeat takes a heartbeat of the worker.
+func (g *Guard) TakeHeartbeat(now time.Time, t work.Target, clock time.Duration) {
 	if g.hasTarget && t.Born != 0 && g.target.Born != 0 && t.Born < g.target.Born {
 		return // delayed; from an earlier incarnation
 	}
@@ -203,8 +203,8 @@
 	g.token = max(g.token+1, uint64(g.workerClock.Milliseconds())+1)
 }
 
-// Unclear reports whether the Guard does not know of some run whether it was started.
-func (g *Guard) Unclear() bool {
+// HasUnclearRuns reports whether the Guard does not know of some run whether it was started.
+func (g *Guard) HasUnclearRuns() bool {
 	for _, r := range g.runs {
 		if r.phase == unclear {
 			return true
@@ -213,9 +213,9 @@
 	return false
 }
 
-// Until returns the end of the lease, on the worker's clock, for a call that is
+// LeaseUntil returns the end of the lease, on the worker's clock, for a call that is
 // sent now. It returns 0 while the lease is not renewed.
-func (g *Guard) Until(now time.Time) time.Duration {
+func (g *Guard) LeaseUntil(now time.Time) time.Duration {
 	if g.workerClock == 0 || !g.renewalPausedAt.IsZero() {
 		return 0
 	}
--- a/worker/worker_test.go
+++ b/worker/worker_test.go
@@ -9,8 +9,8 @@
 )
 
 var cfg = worker.Config{
-	Lease: 800 * time.Millisecond, Contact: 450 * time.Millisecond, Handover: 750 * time.Millisecond, OrderLife: 400 * time.Millisecond,
-	LongestLease: time.Second, Tenure: 5 * time.Second, Forget: 30 * time.Second, Silence: 250 * time.Millisecond, IdleAge: 150 * time.Millisecond,
+	Lease: 800 * time.Millisecond, EntryContactTimeout: 450 * time.Millisecond, HolderContactTimeout: 750 * time.Millisecond, OrderMaxAge: 400 * time.Millisecond,
+	LongestLease: time.Second, TenureMaxAge: 5 * time.Second, EventRetention: 30 * time.Second, WorkerContactTimeout: 250 * time.Millisecond, StallAge: 150 * time.Millisecond,
 }
 
 // driver simulates a worker and an entry around a Guard.
@@ -30,7 +30,7 @@
 }
 
 func (d *driver) sendHeartbeat(draining bool) {
-	d.g.Report(d.now, work.Target{ID: "w", Born: d.born, Service: "s", Draining: draining, Capacity: work.Room{CPU: 100}}, d.clock)
+	d.g.TakeHeartbeat(d.now, work.Target{ID: "w", Born: d.born, Service: "s", Draining: draining, Capacity: work.Room{CPU: 100}}, d.clock)
 }
 
 func (d *driver) advance(span time.Duration) {
@@ -53,11 +53,11 @@
 
 // answerPoll answers a poll that was sent with the current token.
 func (d *driver) answerPoll(percent int, running ...work.Run) {
-	snapshot := worker.Look{Token: d.g.Token(), Born: d.born, Clock: d.clock, Running: make(map[work.Run]int)}
+	snapshot := worker.Snapshot{Token: d.g.Token(), Born: d.born, Clock: d.clock, Running: make(map[work.Run]int)}
 	for _, r := range running {
 		snapshot.Running[r] = percent
 	}
-	d.g.Looked(d.now, snapshot)
+	d.g.PollAnswered(d.now, snapshot)
 }
 
 // lastEvent returns the last event for the entry, which must be of the given end.
@@ -88,7 +88,7 @@
 
 func TestStaleOrderIsRefused(t *testing.T) {
 	d := newDriver(t)
-	d.g.Order(d.now, "e1", d.now.Add(-cfg.OrderLife-time.Millisecond), []work.Start{start(0, 1, 10)}, nil)
+	d.g.Order(d.now, "e1", d.now.Add(-cfg.OrderMaxAge-time.Millisecond), []work.Start{start(0, 1, 10)}, nil)
 	if n := len(d.g.Take()); n != 0 {
 		t.Fatal("a stale order was sent")
 	}
@@ -100,12 +100,12 @@
 func TestUnansweredStartIsRefusedAfterHigherToken(t *testing.T) {
 	d := newDriver(t)
 	sent := d.order(start(0, 1, 10))[0]
-	snapshot := worker.Look{Token: sent.Token, Born: d.born, Clock: d.clock}
+	snapshot := worker.Snapshot{Token: sent.Token, Born: d.born, Clock: d.clock}
 	d.g.Unanswered(run(0, 1))
 	if d.g.Token() <= sent.Token {
 		t.Fatal("token did not rise")
 	}
-	d.g.Looked(d.now, snapshot)
+	d.g.PollAnswered(d.now, snapshot)
 	if n := len(d.g.Events("e1", 0)); n != 0 {
 		t.Fatal("run ended by a poll with the token of the order")
 	}
@@ -138,7 +138,7 @@
 	d := newDriver(t)
 	d.order(start(0, 1, 10))
 	d.g.Started(d.now, run(0, 1), "", false)
-	d.advance(cfg.Contact)
+	d.advance(cfg.EntryContactTimeout)
 	d.g.Tick(d.now)
 	if n := len(d.g.Take()); n != 0 {
 		t.Fatal("stopped within the contact timeout")
@@ -159,17 +159,17 @@
 	d := newDriver(t)
 	d.order(start(0, 1, 10))
 	d.g.Started(d.now, run(0, 1), "", false)
-	d.g.Until(d.now)
+	d.g.LeaseUntil(d.now)
 	d.advance(cfg.Lease)
-	d.g.LookFailed(d.now)
+	d.g.PollFailed(d.now)
 	if n := len(d.g.Events("e1", 0)); n != 0 {
 		t.Fatal("run ended although the worker's clock may be slow")
 	}
-	if !d.g.Silent() {
+	if !d.g.OutOfContact() {
 		t.Error("worker still gets tasks")
 	}
 	d.advance(cfg.Lease / 10)
-	d.g.LookFailed(d.now)
+	d.g.PollFailed(d.now)
 	d.lastEvent(work.Lapsed)
 }
 
@@ -226,8 +226,8 @@
 	const highestSeen = 3_600_000
 	for tries := 0; d.g.Token() <= highestSeen; tries++ {
 		asked := d.g.Token()
-		d.g.Fenced(d.now, d.clock, asked)
-		d.g.Fenced(d.now, d.clock, asked) // for a concurrent poll
+		d.g.TokenRejected(d.now, d.clock, asked)
+		d.g.TokenRejected(d.now, d.clock, asked) // for a concurrent poll
 		if tries > 30 {
 			t.Fatalf("token %d after %d rejections", d.g.Token(), tries)
 		}
@@ -285,18 +285,18 @@
 	d.order(start(0, 1, 10))
 	d.g.Started(d.now, run(0, 1), "", false)
 	d.advance(time.Second)
-	if n := len(d.g.Idle("e1")); n != 0 {
+	if n := len(d.g.StalledRuns("e1")); n != 0 {
 		t.Fatal("stalled although no poll was answered")
 	}
 	d.answerPoll(20, run(0, 1))
-	d.advance(cfg.IdleAge)
+	d.advance(cfg.StallAge)
 	d.answerPoll(21, run(0, 1))
-	if n := len(d.g.Idle("e1")); n != 0 {
+	if n := len(d.g.StalledRuns("e1")); n != 0 {
 		t.Error("stalled although it made progress")
 	}
-	d.advance(cfg.IdleAge + time.Millisecond)
+	d.advance(cfg.StallAge + time.Millisecond)
 	d.answerPoll(21, run(0, 1))
-	if n := len(d.g.Idle("e1")); n != 1 {
+	if n := len(d.g.StalledRuns("e1")); n != 1 {
 		t.Error("not stalled without progress")
 	}
 }
