--- a/agent/link.go
+++ b/agent/link.go
@@ -72,7 +72,7 @@
 
 func (a *Agent) heartbeatIntervalLocked(l *link) time.Duration {
 	d := a.cfg.Policy.Heartbeat.D() * time.Duration(max(1, l.stretch))
-	if !a.lender.Used(l.entry) {
+	if !a.lender.HoldsSlots(l.entry) {
 		return d * idleHeartbeatFactor
 	}
 	return min(d, a.cfg.Policy.StampLife.D()/2) // otherwise its credits would expire
@@ -125,7 +125,7 @@
 	l.client.Close()
 	delete(a.links, addr)
 	if l.entry != "" {
-		a.lender.Forget(l.entry)
+		a.lender.Revoke(l.entry)
 	}
 }
 
@@ -134,7 +134,7 @@
 func (a *Agent) announce(l *link) {
 	a.mu.Lock()
 	if l.entry != "" {
-		a.lender.Spread(l.entry)
+		a.lender.LendEvenShare(l.entry)
 	}
 	known := member.Registry{Entries: a.entries}
 	args := wire.AnnounceArgs{Agent: a.memberLocked(), Status: a.statusLocked(l.entry), EntriesHash: known.EntriesHash()}
@@ -176,7 +176,7 @@
 	}
 	isNew := l.entry != rep.Entry
 	if isNew && l.entry != "" {
-		a.lender.Forget(l.entry)
+		a.lender.Revoke(l.entry)
 	}
 	l.entry = rep.Entry
 	l.stretch = rep.Stretch
@@ -185,7 +185,7 @@
 		a.log.Info().Str("entry", rep.Entry).Msg("entry reached again")
 	}
 	if isNew {
-		a.lender.Spread(rep.Entry)
+		a.lender.LendEvenShare(rep.Entry)
 	}
 	return isNew
 }
@@ -199,7 +199,7 @@
 		return
 	}
 	if l.entry != "" {
-		a.lender.Forget(l.entry)
+		a.lender.Revoke(l.entry)
 		l.entry = "" // the next entry that answers is treated as new
 	}
 	if !l.failing {
@@ -240,7 +240,7 @@
 	if l == nil {
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		a.lender.Forget(entry)
+		a.lender.Revoke(entry)
 		return
 	}
 	args := wire.OfferArgs{Status: a.status(entry), Recall: recall}
--- a/agent/methods.go
+++ b/agent/methods.go
@@ -35,11 +35,11 @@
 	defer a.mu.Unlock()
 	now := a.clock.Now()
 	d := &args.Dispatch
-	a.gate.Observe(d.Registry)
-	free := a.lender.Free(d.Entry, args.Epoch)
+	a.gate.ObserveRegistry(d.Registry)
+	free := a.lender.HasFreeSlot(d.Entry, args.Epoch)
 	dec := a.gate.Dispatch(now, d, free)
 	started := dec.Verdict == gate.Start
-	a.lender.Settle(d.Entry, args.Epoch, args.Demand, started)
+	a.lender.DispatchDecided(d.Entry, args.Epoch, args.Demand, started)
 	if started {
 		a.runningTasks.Add(1)
 		a.counters.started.Inc(1)
@@ -75,7 +75,7 @@
 	rep.Decisions = a.gate.Seal(a.clock.Now(), &args.Seal)
 	for i, dec := range rep.Decisions {
 		if dec.Verdict == gate.Sealed && dec.Reason != gate.Repeated {
-			a.lender.Discard(args.Seal.Entry, args.Seal.Items[i].Epoch)
+			a.lender.DispatchLost(args.Seal.Entry, args.Seal.Items[i].Epoch)
 		}
 	}
 	rep.Status = a.statusLocked(args.Seal.Entry)
--- a/agent/target.go
+++ b/agent/target.go
@@ -72,9 +72,9 @@
 	changed := a.rows.Apply(u.Rows, u.Table)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.gate.Observe(u.Registry)
+	a.gate.ObserveRegistry(u.Registry)
 	if u.Listed > 0 {
-		a.gate.List(u.Listed)
+		a.gate.SetListed(u.Listed)
 	}
 	if changed {
 		a.updateSlotsAndDrainLocked()
--- a/bench/messages.go
+++ b/bench/messages.go
@@ -106,8 +106,8 @@
 // admit lets the gate decide about a dispatch, and runs the task if it starts.
 func (a *agent) admit(e *entry, args *wire.RunArgs, reply func(gate.Decision)) {
 	s, d := a.sim, &args.Dispatch
-	decision := a.gate.Dispatch(s.time(), d, a.lender.Free(e.id, args.Epoch))
-	a.lender.Settle(e.id, args.Epoch, args.Demand, decision.Verdict == gate.Start)
+	decision := a.gate.Dispatch(s.time(), d, a.lender.HasFreeSlot(e.id, args.Epoch))
+	a.lender.DispatchDecided(e.id, args.Epoch, args.Demand, decision.Verdict == gate.Start)
 	if decision.Verdict != gate.Start {
 		reply(decision)
 		return
@@ -200,7 +200,7 @@
 func (a *agent) recallCredits(e *entry, onReturned func()) {
 	s := a.sim
 	if e.dead {
-		a.lender.Forget(e.id)
+		a.lender.Revoke(e.id)
 		onReturned()
 		return
 	}
@@ -221,7 +221,7 @@
 		decisions := a.gate.Seal(s.time(), &sent.Seal)
 		for i, decision := range decisions {
 			if decision.Verdict == gate.Sealed && decision.Reason != gate.Repeated {
-				a.lender.Discard(sent.Seal.Entry, sent.Seal.Items[i].Epoch)
+				a.lender.DispatchLost(sent.Seal.Entry, sent.Seal.Items[i].Epoch)
 			}
 		}
 		st := a.status(e)
@@ -251,14 +251,14 @@
 	for _, a := range s.agents {
 		for _, e := range s.entries {
 			interval := s.scenario.Workload.HeartbeatInterval
-			if !a.lender.Used(e.id) {
+			if !a.lender.HoldsSlots(e.id) {
 				interval *= idleHeartbeatFactor
 			}
 			if a.dead || e.dead || s.elapsed-e.lastContact[a.index] < interval {
 				continue
 			}
 			e.lastContact[a.index] = s.elapsed
-			a.lender.Spread(e.id)
+			a.lender.LendEvenShare(e.id)
 			st := a.status(e)
 			s.send(&s.result.MessageCounts.Heartbeats, &e.dead, func() {
 				e.core.Status(s.time(), &st)
@@ -319,10 +319,10 @@
 		p.core.SetIsolated(true)
 	}
 	for _, a := range s.agents {
-		a.lender.Forget(e.id)
+		a.lender.Revoke(e.id)
 		for _, p := range s.entries {
 			if !p.dead {
-				a.lender.Spread(p.id)
+				a.lender.LendEvenShare(p.id)
 				a.sendOffer(p)
 			}
 		}
@@ -350,7 +350,7 @@
 	for _, a := range s.agents {
 		a.lender.SetSlots(n)
 		for _, e := range s.entries {
-			a.lender.Spread(e.id)
+			a.lender.LendEvenShare(e.id)
 			a.sendOffer(e)
 		}
 	}
--- a/bench/replay.go
+++ b/bench/replay.go
@@ -55,7 +55,7 @@
 func Replay(p *Pattern) *ReplayResult { return newReplay(p).run() }
 
 func newReplay(p *Pattern) *replay {
-	node := &platform.Node{LongestLease: time.Second, FarFactor: 1.5}
+	node := &platform.Node{MaxWorkerLease: time.Second, RemoteFactor: 1.5}
 	return &replay{
 		pattern: p, rng: rand.New(rand.NewPCG(p.Seed, 0)), core: schedule.NewCore(site.HomeConfig(node)), guardConfig: site.GuardConfig(node),
 		byAgent: make(map[string]*modelWorker), jobs: make(map[string]*modelJob), burstFactors: make(map[string]float64),
--- a/bench/simulation.go
+++ b/bench/simulation.go
@@ -165,8 +165,8 @@
 	for i, speed := range sc.Workload.speeds() {
 		id := fmt.Sprintf("a%02d", i)
 		a := &agent{sim: s, id: id, index: i, speed: speed, lender: credit.NewLender(sc.Workload.Threshold)}
-		a.gate = gate.New(id, gate.Config{Window: retention, StampLife: stampMaxAge}, startTime)
-		a.gate.List(1)
+		a.gate = gate.New(id, gate.Config{Window: retention, StampMaxAge: stampMaxAge}, startTime)
+		a.gate.SetListed(1)
 		a.lender.SetSlots(numSlots)
 		s.agents = append(s.agents, a)
 		s.registry.Agents = append(s.registry.Agents, member.Agent{ID: id, Service: service, Joined: 1})
@@ -177,7 +177,7 @@
 	for range 2 { // the first round creates the loans that the second takes into account
 		for _, a := range s.agents {
 			for _, e := range s.entries {
-				a.lender.Spread(e.id)
+				a.lender.LendEvenShare(e.id)
 				st := a.status(e)
 				e.core.AgentUp(s.time(), dispatch.AgentInfo{ID: a.id, Service: service}, &st)
 			}
@@ -284,7 +284,7 @@
 	s.result.NotRun += ans.Counts.NotRun
 	s.result.Unknown += ans.Counts.Unknown
 	delete(s.homeByJob, ans.Key)
-	if ans.Status != job.Complete {
+	if ans.Status != job.StatusComplete {
 		s.result.Failed++
 		return
 	}
--- a/command/job.go
+++ b/command/job.go
@@ -94,7 +94,7 @@
 			_, _ = fmt.Fprintln(w, ans.Reason)
 		}
 	})
-	if err == nil && ans.Status == job.Broken {
+	if err == nil && ans.Status == job.StatusFailed {
 		return errors.Errorf("job %s failed: %s", ans.Key, ans.Reason)
 	}
 	return err
--- a/command/site.go
+++ b/command/site.go
@@ -60,7 +60,7 @@
 			return nil, err
 		}
 	}
-	web.AllowSlowStop(p.node.Grace)
+	web.AllowSlowStop(p.node.GracePeriod)
 	stopTraces, err := telemetry.StartTraces(role, p.cfg.Traces, p.cfg.TraceRatio)
 	if err != nil {
 		return nil, err
@@ -102,7 +102,7 @@
 		return err
 	}
 	reloadOnHangup(e, p.log)
-	return runDaemon(e, p.node.Grace-stopReserve)
+	return runDaemon(e, p.node.GracePeriod-stopReserve)
 }
 
 // reloader is a process that applies changed settings while it runs.
@@ -139,5 +139,5 @@
 		return err
 	}
 	reloadOnHangup(a, p.log)
-	return runDaemon(a, p.node.Grace-stopReserve)
+	return runDaemon(a, p.node.GracePeriod-stopReserve)
 }
--- a/credit/balance.go
+++ b/credit/balance.go
@@ -1,24 +1,24 @@
 package credit
 
-// Purse holds an entry's credits of one agent. The zero Balance is empty.
-type Purse struct {
+// Balance holds an entry's credits of one agent. The zero Balance is empty.
+type Balance struct {
 	offer    Offer
 	spent    uint64
 	returned uint64
 }
 
 // Apply updates the loan from a message of the agent. It ignores older states.
-func (p *Purse) Apply(o Offer) {
+func (p *Balance) Apply(o Offer) {
 	switch {
 	case o.Epoch > p.offer.Epoch:
-		*p = Purse{offer: o}
+		*p = Balance{offer: o}
 	case o.Epoch == p.offer.Epoch:
 		p.offer.Granted = max(p.offer.Granted, o.Granted)
 	}
 }
 
 // Available returns the number of credits that can be spent.
-func (p *Purse) Available() int {
+func (p *Balance) Available() int {
 	used := p.spent + p.returned
 	if used >= p.offer.Granted {
 		return 0
@@ -27,21 +27,21 @@
 }
 
 // Spend uses one credit and returns the epoch to send with the dispatch.
-func (p *Purse) Spend() (epoch uint64) {
+func (p *Balance) Spend() (epoch uint64) {
 	p.spent++
 	return p.offer.Epoch
 }
 
-// Restore refunds a spent credit whose dispatch was never sent.
-func (p *Purse) Restore(epoch uint64) {
+// Refund refunds a spent credit whose dispatch was never sent.
+func (p *Balance) Refund(epoch uint64) {
 	if epoch == p.offer.Epoch && p.spent > 0 {
 		p.spent--
 	}
 }
 
-// GiveBack gives up to n credits back to the agent. It returns the epoch and
+// Return gives up to n credits back to the agent. It returns the epoch and
 // the total of the credits returned in it.
-func (p *Purse) GiveBack(n int) (epoch, total uint64) {
+func (p *Balance) Return(n int) (epoch, total uint64) {
 	p.returned += uint64(min(n, p.Available()))
 	return p.offer.Epoch, p.returned
 }
--- a/credit/credit_test.go
+++ b/credit/credit_test.go
@@ -17,13 +17,13 @@
 		l := credit.NewLender(rapid.IntRange(1, 6).Draw(t, "threshold"))
 		l.SetSlots(slots)
 		names := []string{"e1", "e2", "e3"}
-		balances := make(map[string]*credit.Purse)
+		balances := make(map[string]*credit.Balance)
 		for _, n := range names {
-			balances[n] = &credit.Purse{}
+			balances[n] = &credit.Balance{}
 		}
 		var running []string
 		t.Repeat(map[string]func(*rapid.T){
-			"spread": func(t *rapid.T) { l.Spread(rapid.SampledFrom(names).Draw(t, "entry")) },
+			"spread": func(t *rapid.T) { l.LendEvenShare(rapid.SampledFrom(names).Draw(t, "entry")) },
 			"learn": func(t *rapid.T) {
 				e := rapid.SampledFrom(names).Draw(t, "entry")
 				balances[e].Apply(l.Offer(e))
@@ -34,8 +34,8 @@
 					t.Skip()
 				}
 				epoch := balances[e].Spend()
-				free := l.Free(e, epoch)
-				l.Settle(e, epoch, rapid.IntRange(0, 9).Draw(t, "demand"), free)
+				free := l.HasFreeSlot(e, epoch)
+				l.DispatchDecided(e, epoch, rapid.IntRange(0, 9).Draw(t, "demand"), free)
 				if free {
 					running = append(running, e)
 				}
@@ -50,10 +50,10 @@
 			"ask": func(t *rapid.T) { l.Ask(rapid.SampledFrom(names).Draw(t, "entry"), 3) },
 			"recall": func(t *rapid.T) {
 				e := rapid.SampledFrom(names).Draw(t, "entry")
-				epoch, total := balances[e].GiveBack(2)
+				epoch, total := balances[e].Return(2)
 				l.Return(e, epoch, total, 0)
 			},
-			"forget": func(t *rapid.T) { l.Forget(rapid.SampledFrom(names).Draw(t, "entry")) },
+			"forget": func(t *rapid.T) { l.Revoke(rapid.SampledFrom(names).Draw(t, "entry")) },
 			"": func(t *rapid.T) {
 				if l.Running() != len(running) || l.Running()+l.Lent() > slots {
 					t.Fatalf("%d tasks run and %d credits are lent, with %d slots", l.Running(), l.Lent(), slots)
@@ -66,8 +66,8 @@
 func TestFreedSlotGoesToEntryWithDemand(t *testing.T) {
 	l := credit.NewLender(2)
 	l.SetSlots(1)
-	l.Spread("e1")
-	l.Settle("e1", l.Offer("e1").Epoch, 0, true)
+	l.LendEvenShare("e1")
+	l.DispatchDecided("e1", l.Offer("e1").Epoch, 0, true)
 	if holders := l.Ask("e2", 5); len(holders) != 0 {
 		t.Errorf("Ask returned holders %v, want none: no entry holds a credit", holders)
 	}
@@ -79,9 +79,9 @@
 func TestSlotsOfRevokedLoanBecomeSpare(t *testing.T) {
 	l := credit.NewLender(1)
 	l.SetSlots(1)
-	l.Spread("dead")
-	l.Settle("dead", l.Offer("dead").Epoch, 4, true)
-	l.Forget("dead")
+	l.LendEvenShare("dead")
+	l.DispatchDecided("dead", l.Offer("dead").Epoch, 4, true)
+	l.Revoke("dead")
 	_ = l.Offer("dead")
 	l.Finish("dead")
 	if l.Lent() != 0 || l.Idle("e1") != 1 {
--- a/credit/lender.go
+++ b/credit/lender.go
@@ -107,8 +107,8 @@
 	return max(0, idle)
 }
 
-// Used reports whether entry holds credits or has running tasks.
-func (l *Lender) Used(entry string) bool {
+// HoldsSlots reports whether entry holds credits or has running tasks.
+func (l *Lender) HoldsSlots(entry string) bool {
 	ln := l.loans[entry]
 	return ln != nil && ln.slotsHeld() > 0
 }
@@ -138,9 +138,9 @@
 	return Offer{Epoch: ln.epoch, Granted: ln.granted}
 }
 
-// Free reports whether a dispatch of entry can have a slot: the one that its
+// HasFreeSlot reports whether a dispatch of entry can have a slot: the one that its
 // credit stands for, or else one that is not lent.
-func (l *Lender) Free(entry string, epoch uint64) bool {
+func (l *Lender) HasFreeSlot(entry string, epoch uint64) bool {
 	if l.running >= l.slots {
 		return false
 	}
@@ -153,8 +153,8 @@
 	return epoch == l.epoch && l.outstanding() > 0
 }
 
-// Settle records the decision about a dispatch and the entry's remaining demand.
-func (l *Lender) Settle(entry string, epoch uint64, demand int, started bool) {
+// DispatchDecided records the decision about a dispatch and the entry's remaining demand.
+func (l *Lender) DispatchDecided(entry string, epoch uint64, demand int, started bool) {
 	ln := l.ensureLoan(entry)
 	ln.demand = demand
 	if ln.hasCredit(epoch) {
@@ -168,8 +168,8 @@
 	l.lendSpareTo(entry)
 }
 
-// Discard records that the dispatch that spent a credit will never arrive.
-func (l *Lender) Discard(entry string, epoch uint64) {
+// DispatchLost records that the dispatch that spent a credit will never arrive.
+func (l *Lender) DispatchLost(entry string, epoch uint64) {
 	ln := l.ensureLoan(entry)
 	if ln.hasCredit(epoch) {
 		ln.spent++
@@ -290,9 +290,9 @@
 	return ids
 }
 
-// Spread lends spare slots to entry up to an even share among all entries, if
+// LendEvenShare lends spare slots to entry up to an even share among all entries, if
 // entry holds slots already or no task is running.
-func (l *Lender) Spread(entry string) {
+func (l *Lender) LendEvenShare(entry string) {
 	ln := l.ensureLoan(entry)
 	if ln.slotsHeld() == 0 && l.running > 0 {
 		return
@@ -314,8 +314,8 @@
 	ln.returned = min(max(ln.returned, n), ln.granted-ln.spent)
 }
 
-// Forget revokes all credits of an entry that is gone or out of contact.
-func (l *Lender) Forget(entry string) {
+// Revoke revokes all credits of an entry that is gone or out of contact.
+func (l *Lender) Revoke(entry string) {
 	if l.loans[entry] == nil {
 		return
 	}
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -214,7 +214,7 @@
 		a := &r.answers[i]
 		rep.Unknown += a.Counts.Unknown
 		rep.NotRun += a.Counts.NotRun
-		if a.Status == job.Complete {
+		if a.Status == job.StatusComplete {
 			rep.Complete++
 		} else {
 			rep.Failed++
--- a/demo/site.go
+++ b/demo/site.go
@@ -137,7 +137,7 @@
 func (s *siteRun) node(name string) *platform.Node {
 	return &platform.Node{
 		Name: name, IP: "127.0.0.1", Service: Service, Internal: s.address(name), Metrics: s.address(name + "/metrics"),
-		Store: s.address("store"), Entries: []string{s.address("entry0"), s.address("entry1")}, Cores: 1, Grace: siteCallerTimeout,
+		Store: s.address("store"), Entries: []string{s.address("entry0"), s.address("entry1")}, Cores: 1, GracePeriod: siteCallerTimeout,
 	}
 }
 
@@ -154,7 +154,7 @@
 		return err
 	}
 	s.agents = append(s.agents, a)
-	go w.Announce(s.ctx, http.DefaultClient, n.Control, siteHeartbeat)
+	go w.SendHeartbeats(s.ctx, http.DefaultClient, n.Control, siteHeartbeat)
 	return nil
 }
 
@@ -208,7 +208,7 @@
 
 // submit submits a job, and resubmits it to the next entry if it got no answer.
 func (s *siteRun) submit(i int) {
-	caller := standin.Caller{Client: http.DefaultClient, Waits: siteCallerTimeout}
+	caller := standin.Caller{Client: http.DefaultClient, Timeout: siteCallerTimeout}
 	id := fmt.Sprintf("%016x", i)
 	step := work.Step{Count: 1 + i%6, Room: work.Room{CPU: 1000, Memory: 16}, Estimate: 150 * time.Millisecond}
 	for try := range siteEntries {
--- a/demo/verify.go
+++ b/demo/verify.go
@@ -49,8 +49,8 @@
 func (v *Verdict) checkAnswer(a *job.Answer, ran map[taskID]bool) {
 	n := a.Counts
 	total := n.Queued + n.Dispatched + n.Done + n.Failed + n.NotRun + n.Unknown
-	complete := a.Status == job.Complete && n.Done == total && len(a.Results) == total
-	failed := a.Status == job.Broken && len(a.Results) == 0 && n.Queued+n.Dispatched == 0
+	complete := a.Status == job.StatusComplete && n.Done == total && len(a.Results) == total
+	failed := a.Status == job.StatusFailed && len(a.Results) == 0 && n.Queued+n.Dispatched == 0
 	if !complete && !failed {
 		v.Partial++
 	}
--- a/dispatch/agents.go
+++ b/dispatch/agents.go
@@ -132,7 +132,7 @@
 	if demand == 0 {
 		n = c.creditsToReturn(a.balance.Available())
 	}
-	epoch, total = a.balance.GiveBack(n)
+	epoch, total = a.balance.Return(n)
 	return epoch, total, demand
 }
 
--- a/dispatch/calls_test.go
+++ b/dispatch/calls_test.go
@@ -29,10 +29,10 @@
 
 func (w *world) admit(a *simAgent, e *simEntry, args *wire.RunArgs, inst instance, t runningTask) {
 	d := w.omitted.dispatch(a, args.Dispatch)
-	a.gate.Observe(d.Registry)
-	dec := a.gate.Dispatch(w.now, &d, a.lender.Free(e.id, args.Epoch))
+	a.gate.ObserveRegistry(d.Registry)
+	dec := a.gate.Dispatch(w.now, &d, a.lender.HasFreeSlot(e.id, args.Epoch))
 	dec = w.omitted.decision(a, &d, dec)
-	a.lender.Settle(e.id, args.Epoch, args.Demand, dec.Verdict == gate.Start)
+	a.lender.DispatchDecided(e.id, args.Epoch, args.Demand, dec.Verdict == gate.Start)
 	w.tracef("%s: dispatch %s#%d attempt %d of %s ballot %v registry %d -> verdict %d %s", a.id, d.Task.Job, d.Task.Index, d.Attempt, e.id, d.Ballot, d.Registry, dec.Verdict, dec.Reason)
 	if dec.Verdict != gate.Start {
 		w.refusals[dec.Reason]++
@@ -108,7 +108,7 @@
 		w.tracef("%s: seal of %s for %s: %+v -> %+v", a.id, e.id, s.Agent, s.Items, decs)
 		for i, dec := range decs {
 			if dec.Verdict == gate.Sealed && dec.Reason != gate.Repeated {
-				a.lender.Discard(s.Entry, s.Items[i].Epoch)
+				a.lender.DispatchLost(s.Entry, s.Items[i].Epoch)
 			}
 		}
 		st := w.status(a, e)
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -191,7 +191,7 @@
 	id            string
 	service       string
 	dataCentre    string
-	balance       credit.Purse
+	balance       credit.Balance
 	status        wire.Status
 	stampReceived time.Time // arrival of status.Stamp
 	reachable     bool
--- a/dispatch/events_test.go
+++ b/dispatch/events_test.go
@@ -199,7 +199,7 @@
 		return
 	}
 	w.actor = a.id
-	a.lender.Spread(e.id)
+	a.lender.LendEvenShare(e.id)
 	st := w.status(a, e)
 	w.toEntry(e, func() {
 		e.watchdog.Announced(w.now, a.id)
@@ -214,9 +214,9 @@
 		}
 		rev := reg.Revision
 		w.toAgent(a, func() {
-			a.gate.Observe(rev)
+			a.gate.ObserveRegistry(rev)
 			if listed.Joined > 0 {
-				a.gate.List(listed.Joined)
+				a.gate.SetListed(listed.Joined)
 			}
 		}, noop)
 	}, noop)
--- a/dispatch/promises_test.go
+++ b/dispatch/promises_test.go
@@ -110,11 +110,11 @@
 	if ans.Key != given.key {
 		w.violationf("%s was given the answer of %s", given.key, ans.Key)
 	}
-	if ans.Status == job.Complete {
+	if ans.Status == job.StatusComplete {
 		w.checkComplete(given)
 		return
 	}
-	if len(ans.Results) > 0 || ans.Status != job.Broken {
+	if len(ans.Results) > 0 || ans.Status != job.StatusFailed {
 		w.violationf("%s has status %s with %d results", given.key, ans.Status, len(ans.Results))
 	}
 	for i, s := range ans.States {
@@ -175,7 +175,7 @@
 	for i := range w.answers {
 		s.notRun += w.answers[i].answer.Counts.NotRun
 		s.unknown += w.answers[i].answer.Counts.Unknown
-		if w.answers[i].answer.Status == job.Complete {
+		if w.answers[i].answer.Status == job.StatusComplete {
 			s.complete++
 		} else {
 			s.failed++
--- a/dispatch/reply.go
+++ b/dispatch/reply.go
@@ -37,7 +37,7 @@
 		return
 	}
 	if a := c.agents[t.agent]; a != nil {
-		a.balance.Restore(t.epoch)
+		a.balance.Refund(t.epoch)
 	}
 	c.requeue(now, j, ref.index)
 	c.schedule(now, c.service(j.spec.Service))
@@ -226,11 +226,11 @@
 	ans := job.Answer{Key: j.spec.Key, Submission: j.submission, Counts: j.counts()}
 	if ans.Counts.Done == len(j.tasks) {
 		c.counters.Complete++
-		ans.Status = job.Complete
+		ans.Status = job.StatusComplete
 		ans.Results = j.results()
 	} else {
 		c.counters.Failed++
-		ans.Status = job.Broken
+		ans.Status = job.StatusFailed
 		ans.Reason = j.failureReason(ans.Counts)
 		ans.States = j.states()
 	}
--- a/dispatch/scenario_test.go
+++ b/dispatch/scenario_test.go
@@ -156,7 +156,7 @@
 	it := acts.Claims[0].Jobs[0]
 	rep := gate.Report{Task: gate.TaskID{Job: it.Job}, Phase: gate.Succeeded, Result: []byte("7")}
 	d.core.Granted(d.now, "a1", []gate.Grant{{Job: it.Job, Ballot: it.Ballot, OK: true, Reports: []gate.Report{rep}}})
-	if acts := d.advance(0); len(acts.Runs) > 0 || len(acts.Answers) != 1 || acts.Answers[0].Status != job.Complete {
+	if acts := d.advance(0); len(acts.Runs) > 0 || len(acts.Answers) != 1 || acts.Answers[0].Status != job.StatusComplete {
 		t.Errorf("after the claim: actions %+v, want only a complete answer", acts)
 	}
 }
--- a/dispatch/submit.go
+++ b/dispatch/submit.go
@@ -161,7 +161,7 @@
 	if j.answer != nil {
 		return *j.answer, true
 	}
-	return job.Answer{Key: k, Submission: j.submission, Status: job.Running, Counts: j.counts()}, true
+	return job.Answer{Key: k, Submission: j.submission, Status: job.StatusRunning, Counts: j.counts()}, true
 }
 
 func (j *activeJob) counts() (n job.Counts) {
--- a/dispatch/world_test.go
+++ b/dispatch/world_test.go
@@ -175,7 +175,7 @@
 	id := w.newID("a")
 	a := &simAgent{
 		id:     id,
-		gate:   gate.New(id, gate.Config{Window: retention, StampLife: 5 * time.Second}, w.now),
+		gate:   gate.New(id, gate.Config{Window: retention, StampMaxAge: 5 * time.Second}, w.now),
 		lender: credit.NewLender(1 + w.r.IntN(3)),
 	}
 	a.lender.SetSlots(1 + w.r.IntN(3))
--- a/entry/submit.go
+++ b/entry/submit.go
@@ -47,7 +47,7 @@
 	defer span.End()
 	s := submission{spec: spec, id: identity.New("submission"), trace: telemetry.Inject(ctx)}
 	ans, err = e.resolve(ctx, s)
-	return ans.For(s.id), err
+	return ans.ForSubmission(s.id), err
 }
 
 // resolve finds the entry that runs the job, itself or another one, and returns
@@ -116,7 +116,7 @@
 // unresolvedAnswer returns the answer to a job whose outcome could not be
 // determined before its deadline.
 func (e *Entry) unresolvedAnswer(s *submission) job.Answer {
-	ans := job.Answer{Key: s.spec.Key, Status: job.Broken, Reason: "the entry that may have run the job did not answer in time"}
+	ans := job.Answer{Key: s.spec.Key, Status: job.StatusFailed, Reason: "the entry that may have run the job did not answer in time"}
 	for range s.spec.Tasks {
 		ans.Counts.Add(job.Unknown)
 		ans.States = append(ans.States, job.Unknown)
@@ -287,7 +287,7 @@
 		if !ok {
 			return nil
 		}
-		if wait && known.Status == job.Running {
+		if wait && known.Status == job.StatusRunning {
 			e.core.waiters[k] = append(e.core.waiters[k], ch)
 		}
 		return &known
@@ -296,7 +296,7 @@
 		return ans, false
 	}
 	ans = *current
-	if !wait || ans.Status != job.Running {
+	if !wait || ans.Status != job.StatusRunning {
 		return ans, true
 	}
 	select {
--- a/entry/web_submit.go
+++ b/entry/web_submit.go
@@ -76,7 +76,7 @@
 		}
 		web.Reply(w, http.StatusOK, res.ans)
 	case <-time.After(acceptTimeout):
-		web.Reply(w, http.StatusAccepted, Accepted{Key: spec.Key, Status: job.Running})
+		web.Reply(w, http.StatusAccepted, Accepted{Key: spec.Key, Status: job.StatusRunning})
 	}
 }
 
--- a/failure/callers_test.go
+++ b/failure/callers_test.go
@@ -72,7 +72,7 @@
 	switch {
 	case !answered:
 		n.unanswered++
-	case a.Status == job.Complete:
+	case a.Status == job.StatusComplete:
 		n.complete++
 	case a.Counts.Unknown > 0:
 		n.unknown++
--- a/failure/fleet_config_test.go
+++ b/failure/fleet_config_test.go
@@ -57,8 +57,8 @@
 		fault func(s *fleet)
 	}{
 		{"nothing fails", func(*fleet) {}},
-		{"watches hear nothing", func(s *fleet) { s.store.Set(standin.StoreFaults{Deaf: true}) }},
-		{"store slow", func(s *fleet) { s.store.Set(standin.StoreFaults{Delay: 200 * time.Millisecond}) }},
+		{"watches hear nothing", func(s *fleet) { s.store.SetFaults(standin.StoreFaults{DropWatchEvents: true}) }},
+		{"store slow", func(s *fleet) { s.store.SetFaults(standin.StoreFaults{Delay: 200 * time.Millisecond}) }},
 		{"one entry is refused", func(s *fleet) { s.network.cut("e1", "store", true) }},
 		{"home is refused", func(s *fleet) { s.network.cut(fmt.Sprint("e", s.home()), "store", true) }},
 		{"open connections silent", func(s *fleet) { s.network.blackholeOpenConns() }},
@@ -68,7 +68,7 @@
 			runWithFleet(t, func(_ *testing.T, s *fleet) {
 				time.AfterFunc(4*time.Second, func() { tc.fault(s) })
 				s.checkConfigChanges(5)
-				s.store.Set(standin.StoreFaults{})
+				s.store.SetFaults(standin.StoreFaults{})
 			})
 		})
 	}
@@ -111,7 +111,7 @@
 			t.Fatal(err)
 		}
 		time.Sleep(configApplyLimit)
-		s.store.Set(standin.StoreFaults{Down: true})
+		s.store.SetFaults(standin.StoreFaults{Down: true})
 		s.entry(2).Kill()
 		time.Sleep(time.Second)
 		s.startEntry(2)
@@ -119,7 +119,7 @@
 		if current := s.inForce(c, 2, 2); current != 2 {
 			t.Errorf("version %d in force, want 2", current)
 		}
-		s.store.Set(standin.StoreFaults{})
+		s.store.SetFaults(standin.StoreFaults{})
 	})
 }
 
--- a/failure/fleet_faults_test.go
+++ b/failure/fleet_faults_test.go
@@ -73,17 +73,17 @@
 	}},
 	{"worker crashes", 0.85, func(s *fleet) { s.workers[1].Crash() }},
 	{"worker stalls", 0.85, func(s *fleet) {
-		s.workers[1].Set(standin.WorkerFaults{Stalled: true})
+		s.workers[1].SetFaults(standin.WorkerFaults{Stalled: true})
 		time.Sleep(3 * time.Second)
-		s.workers[1].Set(standin.WorkerFaults{})
+		s.workers[1].SetFaults(standin.WorkerFaults{})
 	}},
 	{"orders late", 0.85, func(s *fleet) { s.leaveOrdersUnanswered(3 * time.Second) }},
 	{"orders never carried out", 0.85, func(s *fleet) { s.leaveOrdersUnanswered(0) }},
 	{"open connections silent", 0.85, func(s *fleet) { s.network.blackholeOpenConns() }},
 	{"store down", 1, func(s *fleet) {
-		s.store.Set(standin.StoreFaults{Down: true})
+		s.store.SetFaults(standin.StoreFaults{Down: true})
 		time.Sleep(3 * time.Second)
-		s.store.Set(standin.StoreFaults{})
+		s.store.SetFaults(standin.StoreFaults{})
 	}},
 	{"entry leaves", 1, func(s *fleet) {
 		h := s.home()
@@ -180,10 +180,10 @@
 // for 3 s and execute it after a delay, or never if the delay is 0.
 func (s *fleet) leaveOrdersUnanswered(executeAfter time.Duration) {
 	for _, w := range s.workers {
-		w.Set(standin.WorkerFaults{Mute: func(n int) bool { return n%12 == 0 }, Late: executeAfter})
+		w.SetFaults(standin.WorkerFaults{Unanswered: func(n int) bool { return n%12 == 0 }, ExecuteAfter: executeAfter})
 	}
 	time.Sleep(3 * time.Second)
 	for _, w := range s.workers {
-		w.Set(standin.WorkerFaults{})
+		w.SetFaults(standin.WorkerFaults{})
 	}
 }
--- a/failure/fleet_stored_test.go
+++ b/failure/fleet_stored_test.go
@@ -33,7 +33,7 @@
 )
 
 func (s *fleet) caller() standin.Caller {
-	return standin.Caller{Client: &http.Client{Transport: &http.Transport{DialContext: s.dial("caller"), DisableKeepAlives: true}}, Waits: storedCallTimeout}
+	return standin.Caller{Client: &http.Client{Transport: &http.Transport{DialContext: s.dial("caller"), DisableKeepAlives: true}}, Timeout: storedCallTimeout}
 }
 
 // loadStored submits stored jobs of two steps for a while and waits until they
@@ -167,26 +167,26 @@
 	}},
 	// No job is accepted for most of the time, but accepted jobs complete.
 	{"store down for longer than a tenure", 0.15, func(s *fleet) {
-		s.store.Set(standin.StoreFaults{Down: true})
+		s.store.SetFaults(standin.StoreFaults{Down: true})
 		time.Sleep(8 * time.Second)
-		s.store.Set(standin.StoreFaults{})
+		s.store.SetFaults(standin.StoreFaults{})
 	}},
 	{"answers of the store lost", 0, func(s *fleet) {
-		s.store.Set(standin.StoreFaults{LoseAnswers: true})
+		s.store.SetFaults(standin.StoreFaults{DropReplies: true})
 		time.Sleep(2 * time.Second)
-		s.store.Set(standin.StoreFaults{})
+		s.store.SetFaults(standin.StoreFaults{})
 	}},
 	{"writes late", 0, func(s *fleet) {
-		s.store.Set(standin.StoreFaults{LateWrites: 2500 * time.Millisecond})
+		s.store.SetFaults(standin.StoreFaults{WriteDelay: 2500 * time.Millisecond})
 		time.Sleep(2 * time.Second)
-		s.store.Set(standin.StoreFaults{})
+		s.store.SetFaults(standin.StoreFaults{})
 	}},
 	{"writes late, then the home is killed", 0, func(s *fleet) {
-		s.store.Set(standin.StoreFaults{LateWrites: 2500 * time.Millisecond})
+		s.store.SetFaults(standin.StoreFaults{WriteDelay: 2500 * time.Millisecond})
 		time.Sleep(time.Second)
 		h := s.home()
 		s.entry(h).Kill()
-		s.store.Set(standin.StoreFaults{})
+		s.store.SetFaults(standin.StoreFaults{})
 		time.Sleep(time.Second)
 		s.startEntry(h)
 	}},
@@ -195,13 +195,13 @@
 		time.Sleep(4 * time.Second)
 	}},
 	{"home killed during an outage of the store", 0, func(s *fleet) {
-		s.store.Set(standin.StoreFaults{Down: true})
+		s.store.SetFaults(standin.StoreFaults{Down: true})
 		time.Sleep(500 * time.Millisecond)
 		h := s.home()
 		s.entry(h).Kill()
 		time.Sleep(2 * time.Second)
 		s.startEntry(h)
-		s.store.Set(standin.StoreFaults{})
+		s.store.SetFaults(standin.StoreFaults{})
 	}},
 }
 
--- a/failure/fleet_test.go
+++ b/failure/fleet_test.go
@@ -98,7 +98,7 @@
 		s.startAgent(i)
 		client := &http.Client{Transport: &http.Transport{DialContext: s.dial(fmt.Sprint("w", i))}}
 		s.goroutines.Go(func() {
-			s.workers[i].Announce(s.ctx, client, fmt.Sprint("c", i), time.Second)
+			s.workers[i].SendHeartbeats(s.ctx, client, fmt.Sprint("c", i), time.Second)
 			client.CloseIdleConnections()
 		})
 	}
@@ -148,7 +148,7 @@
 func (s *fleet) node(name string) platform.Node {
 	return platform.Node{
 		Name: name, IP: name, Service: service, Internal: name, Metrics: name + "/metrics", Store: "store", Cores: 0.4,
-		Entries: []string{"e0", "e1"}, Grace: 6 * time.Second,
+		Entries: []string{"e0", "e1"}, GracePeriod: 6 * time.Second,
 	}
 }
 
@@ -219,7 +219,7 @@
 // submit submits a job, and resubmits it once to the next entry if it gets no
 // answer, as callers do.
 func (s *fleet) submit(entry int, queue work.Queue, id string, tasks int) {
-	caller := standin.Caller{Client: &http.Client{Transport: &http.Transport{DialContext: s.dial("caller"), DisableKeepAlives: true}}, Waits: 6 * time.Second}
+	caller := standin.Caller{Client: &http.Client{Transport: &http.Transport{DialContext: s.dial("caller"), DisableKeepAlives: true}}, Timeout: 6 * time.Second}
 	step := work.Step{Count: tasks, Room: work.Room{CPU: taskCPU}, Estimate: time.Duration(id[0]-'0') * 100 * time.Millisecond}
 	for attempt := range 2 {
 		reply, err := caller.Submit(s.ctx, s.frontAddress(entry+attempt), queue.Name, id, step)
--- a/failure/history_test.go
+++ b/failure/history_test.go
@@ -37,9 +37,9 @@
 		ans := output.(job.Answer)
 		ranResults := state.(string)
 		switch {
-		case ans.Status == job.Complete && ranResults == "":
+		case ans.Status == job.StatusComplete && ranResults == "":
 			return true, joinResults(&ans)
-		case ans.Status == job.Complete:
+		case ans.Status == job.StatusComplete:
 			return ranResults == joinResults(&ans), ranResults
 		case ans.Counts.NotRun > 0:
 			return ranResults == "", ranResults
@@ -72,9 +72,9 @@
 func TestHistoryWithTwoRunsIsRejected(t *testing.T) {
 	at := func(second int64) time.Time { return time.Unix(second, 0) }
 	complete := func(result string) job.Answer {
-		return job.Answer{Key: "t/k", Status: job.Complete, Results: []json.RawMessage{json.RawMessage(result)}}
+		return job.Answer{Key: "t/k", Status: job.StatusComplete, Results: []json.RawMessage{json.RawMessage(result)}}
 	}
-	notRun := job.Answer{Key: "t/k", Status: job.Broken, Counts: job.Counts{NotRun: 1}}
+	notRun := job.Answer{Key: "t/k", Status: job.StatusFailed, Counts: job.Counts{NotRun: 1}}
 	for name, tc := range map[string]struct {
 		first, second job.Answer
 		want          bool
--- a/gate/claim.go
+++ b/gate/claim.go
@@ -26,7 +26,7 @@
 		grant.Registry = g.registry
 		return grant
 	}
-	g.Observe(c.Registry)
+	g.ObserveRegistry(c.Registry)
 	if m := g.marker(item.Job); item.Ballot.Less(m) {
 		grant.Holder = m
 		return grant
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -42,8 +42,8 @@
 
 // Config holds the time limits on what a Gate records and accepts.
 type Config struct {
-	Window    time.Duration // how long records, closed attempts and claims are kept
-	StampLife time.Duration // maximum age of a dispatch's stamp
+	Window      time.Duration // how long records, closed attempts and claims are kept
+	StampMaxAge time.Duration // maximum age of a dispatch's stamp
 }
 
 // Gate decides about the starts of one agent's incarnation and records them.
@@ -126,16 +126,16 @@
 	return now.Sub(g.startedAt)
 }
 
-// List records that the registry has listed this agent since revision rev.
-func (g *Gate) List(rev uint64) {
+// SetListed records that the registry has listed this agent since revision rev.
+func (g *Gate) SetListed(rev uint64) {
 	if g.joined == 0 {
 		g.joined = rev
 	}
-	g.Observe(rev)
+	g.ObserveRegistry(rev)
 }
 
-// Observe records that a process acts on registry revision rev.
-func (g *Gate) Observe(rev uint64) {
+// ObserveRegistry records that a process acts on registry revision rev.
+func (g *Gate) ObserveRegistry(rev uint64) {
 	g.registry = max(g.registry, rev)
 }
 
@@ -184,7 +184,7 @@
 	if g.draining {
 		return Draining
 	}
-	if age := g.Stamp(now) - d.Stamp; age > g.cfg.StampLife || age > d.StartWithin {
+	if age := g.Stamp(now) - d.Stamp; age > g.cfg.StampMaxAge || age > d.StartWithin {
 		return Stale
 	}
 	if d.Idempotent {
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -15,8 +15,8 @@
 // newListedGate returns a gate that is listed at revision 5, at a time after its
 // join window.
 func newListedGate() (g *gate.Gate, now time.Time) {
-	g = gate.New("a1", gate.Config{Window: window, StampLife: time.Second}, startedAt)
-	g.List(5)
+	g = gate.New("a1", gate.Config{Window: window, StampMaxAge: time.Second}, startedAt)
+	g.SetListed(5)
 	return g, startedAt.Add(window)
 }
 
@@ -62,7 +62,7 @@
 		want   gate.Reason
 	}{
 		{"unlisted", func(g *gate.Gate, _ *gate.Dispatch) {
-			*g = *gate.New("a1", gate.Config{Window: window, StampLife: time.Hour}, startedAt)
+			*g = *gate.New("a1", gate.Config{Window: window, StampMaxAge: time.Hour}, startedAt)
 		}, 0, true, gate.Unlisted},
 		{"old registry", func(_ *gate.Gate, d *gate.Dispatch) { d.Registry = 4 }, 0, true, gate.OldRegistry},
 		{"young", func(_ *gate.Gate, _ *gate.Dispatch) {}, -time.Second, true, gate.Young},
--- a/gate/handover.go
+++ b/gate/handover.go
@@ -47,7 +47,7 @@
 	for _, id := range h.Agents {
 		g.adoptedUntil[id] = now.Add(g.cfg.Window)
 	}
-	g.Observe(h.Registry)
+	g.ObserveRegistry(h.Registry)
 	for _, hj := range h.Jobs {
 		g.importJob(now, hj)
 	}
--- a/integration/site_test.go
+++ b/integration/site_test.go
@@ -335,7 +335,7 @@
 		}
 	}
 	for i := range answers {
-		if answers[i].Status != job.Complete {
+		if answers[i].Status != job.StatusComplete {
 			failed++
 			s.t.Logf("%s: %s %+v", answers[i].Key, answers[i].Reason, answers[i].Counts)
 		}
--- a/job/answer.go
+++ b/job/answer.go
@@ -7,9 +7,9 @@
 
 // The statuses of a job.
 const (
-	Running  Status = "running"
-	Complete Status = "complete"
-	Broken   Status = "failed"
+	StatusRunning  Status = "running"
+	StatusComplete Status = "complete"
+	StatusFailed   Status = "failed"
 )
 
 // Answer is the response to a caller about a job. Results is set only if Status
@@ -25,8 +25,8 @@
 	States     []State           `json:"states,omitempty"`
 }
 
-// For returns a copy of the answer for the caller of a submission.
-func (a Answer) For(submission string) Answer {
+// ForSubmission returns a copy of the answer for the caller of a submission.
+func (a Answer) ForSubmission(submission string) Answer {
 	a.Submission = submission
 	return a
 }
--- a/load/run.go
+++ b/load/run.go
@@ -178,7 +178,7 @@
 }
 
 func (rep *Report) countAnswer(ans *job.Answer) {
-	if ans.Status == job.Complete {
+	if ans.Status == job.StatusComplete {
 		rep.Complete++
 	} else {
 		rep.Failed++
--- a/site/agent.go
+++ b/site/agent.go
@@ -158,7 +158,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	before, known := a.guard.Target()
-	if rep.Leaves {
+	if rep.Leaving {
 		if known && before.ID == rep.Target.ID {
 			a.guard.Leave()
 			a.log.Info().Str("worker", rep.Target.ID).Msg("worker leaves")
@@ -215,7 +215,7 @@
 		return
 	}
 	reason := ""
-	if ans.Taken {
+	if ans.Accepted {
 		a.metrics.started.Inc(1)
 	} else {
 		reason = ans.Reason
@@ -297,7 +297,7 @@
 			a.signalEvents()
 		}
 		return false
-	case !ans.Taken:
+	case !ans.Accepted:
 		if ans.Reason == platform.ReasonFence {
 			a.guard.TokenRejected(now, ans.Clock, token)
 		}
@@ -313,7 +313,7 @@
 		}
 	}
 	for _, e := range ans.Ended {
-		snapshot.Ended = append(snapshot.Ended, worker.Ended{Number: e.Number, Run: e.Run, End: e.End, Checkpoint: e.Checkpoint})
+		snapshot.Ended = append(snapshot.Ended, worker.Ended{Number: e.EndNumber, Run: e.Run, End: e.End, Checkpoint: e.Checkpoint})
 	}
 	runsBefore := a.guard.Running()
 	a.guard.PollAnswered(now, snapshot)
--- a/site/entry_stored.go
+++ b/site/entry_stored.go
@@ -93,7 +93,7 @@
 // serveState answers a request for the state of a stored job. If no home answers in
 // stateFallbackAfter, it reads the state from the store.
 func (e *Entry) serveState(w http.ResponseWriter, r *http.Request, id string) {
-	ctx, release := e.callerContext(r.Context(), platform.CallerWaits(r, defaultCallerWait))
+	ctx, release := e.callerContext(r.Context(), platform.CallerTimeout(r, defaultCallerWait))
 	defer release()
 	homeCtx, cancel := context.WithTimeout(ctx, stateFallbackAfter)
 	defer cancel()
@@ -135,7 +135,7 @@
 
 // serveCancel cancels a stored job.
 func (e *Entry) serveCancel(w http.ResponseWriter, r *http.Request, id string) {
-	ctx, release := e.callerContext(r.Context(), platform.CallerWaits(r, defaultCallerWait))
+	ctx, release := e.callerContext(r.Context(), platform.CallerTimeout(r, defaultCallerWait))
 	defer release()
 	rep, ok := e.askHome(ctx, func(m roster.Member) (StateReply, error) { return e.cancelAt(ctx, m, id) })
 	e.requestLog.Info().Str("job", id).Bool("answered", ok).Str("state", string(rep.State)).Msg("cancellation")
--- a/site/entry_web.go
+++ b/site/entry_web.go
@@ -95,12 +95,12 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if s.Filling || !s.Job.Stored && (s.Job.Lasts || s.Job.Times > 0) {
-		e.requestLog.Warn().Str("job", id).Bool("fills", s.Filling).Bool("lasts", s.Job.Lasts).Int("times", s.Job.Times).Msg("job rejected: its kind is not supported")
+	if s.Backfill || !s.Job.Stored && (s.Job.Lasts || s.Job.Times > 0) {
+		e.requestLog.Warn().Str("job", id).Bool("fills", s.Backfill).Bool("lasts", s.Job.Lasts).Int("times", s.Job.Times).Msg("job rejected: its kind is not supported")
 		e.logWriteError(platform.WriteRefusal(w, http.StatusServiceUnavailable, time.Minute))
 		return
 	}
-	s.Job.Left = platform.CallerWaits(r, defaultCallerWait)
+	s.Job.Left = platform.CallerTimeout(r, defaultCallerWait)
 	ctx, release := e.callerContext(r.Context(), s.Job.Left)
 	defer release()
 	ctx, span := telemetry.Span(ctx, "submit")
--- a/site/home_route.go
+++ b/site/home_route.go
@@ -180,5 +180,5 @@
 }
 
 func ledgerConfig(n *platform.Node) ledger.Config {
-	return ledger.Config{EndedRetention: n.StatusKept + extraStatusRetention, RenewalInterval: tenureRenewInterval, CommitInterval: minCommitInterval, MaxCommitEntries: maxCommitEntries, MaxInFlight: maxPendingCommits}
+	return ledger.Config{EndedRetention: n.StatusRetention + extraStatusRetention, RenewalInterval: tenureRenewInterval, CommitInterval: minCommitInterval, MaxCommitEntries: maxCommitEntries, MaxInFlight: maxPendingCommits}
 }
--- a/site/site.go
+++ b/site/site.go
@@ -128,13 +128,13 @@
 
 // GuardConfig returns the limits of an agent's guard.
 func GuardConfig(n *platform.Node) worker.Config {
-	return worker.Config{Lease: workerLease, LongestLease: n.LongestLease, EntryContactTimeout: stopRunsAfter, HolderContactTimeout: stopStoredRunsAfter, OrderMaxAge: orderMaxAge, EventRetention: peerRetention, WorkerContactTimeout: workerContactTimeout, TenureMaxAge: tenureDuration, StallAge: stallAge}
+	return worker.Config{Lease: workerLease, LongestLease: n.MaxWorkerLease, EntryContactTimeout: stopRunsAfter, HolderContactTimeout: stopStoredRunsAfter, OrderMaxAge: orderMaxAge, EventRetention: peerRetention, WorkerContactTimeout: workerContactTimeout, TenureMaxAge: tenureDuration, StallAge: stallAge}
 }
 
 // HomeConfig returns the limits of a home's scheduler core.
 func HomeConfig(n *platform.Node) schedule.Config {
 	return schedule.Config{
-		SuspectAfter: suspectAfter, SuspectIdleAfter: suspectIdleAfter, RunsLostAfter: runsLostAfter, StoredRunsLostAfter: storedRunsLostAfter, RemoteFactor: n.FarFactor, CutoffFactor: 3, Margin: 5 * time.Millisecond,
+		SuspectAfter: suspectAfter, SuspectIdleAfter: suspectIdleAfter, RunsLostAfter: runsLostAfter, StoredRunsLostAfter: storedRunsLostAfter, RemoteFactor: n.RemoteFactor, CutoffFactor: 3, Margin: 5 * time.Millisecond,
 		MaxRemembered: 4096, MaxQueued: 20000,
 	}
 }
