--- a/bench/messages.go
+++ b/bench/messages.go
@@ -86,7 +86,7 @@
 		s.after(s.scenario.Workload.Latency, func() {
 			if !e.dead {
 				e.core.AgentDown(a.id)
-				e.core.RunLost(s.time(), attempt, true)
+				e.core.RunCallFailed(s.time(), attempt, true)
 			}
 		})
 	}
@@ -98,7 +98,7 @@
 	s.send(&s.result.MessageCounts.Runs, &a.dead, func() {
 		a.admit(e, &args, func(decision gate.Decision) {
 			st := a.status(e)
-			s.send(&s.result.MessageCounts.Runs, &e.dead, func() { e.core.RunDone(s.time(), attempt, &decision, &st) })
+			s.send(&s.result.MessageCounts.Runs, &e.dead, func() { e.core.RunAnswered(s.time(), attempt, &decision, &st) })
 		})
 	})
 }
@@ -158,7 +158,7 @@
 	s := a.sim
 	st := a.status(e)
 	s.send(&s.result.MessageCounts.Offers, &e.dead, func() {
-		e.core.Status(s.time(), &st)
+		e.core.ApplyStatus(s.time(), &st)
 		e.lastContact[a.index] = s.elapsed
 		s.result.MessageCounts.Offers++ // the acknowledgement
 	})
@@ -169,14 +169,14 @@
 func (e *entry) sendAsk(ask dispatch.Ask) {
 	s, a := e.sim, e.sim.agentByID(ask.Agent)
 	if a.dead {
-		e.core.Asked(s.time(), a.id, nil)
+		e.core.AskAnswered(s.time(), a.id, nil)
 		e.core.AgentDown(a.id)
 		return
 	}
 	answer := func() {
 		a.lender.Ask(e.id, ask.Demand)
 		st := a.status(e)
-		s.send(&s.result.MessageCounts.Asks, &e.dead, func() { e.core.Asked(s.time(), a.id, &st) })
+		s.send(&s.result.MessageCounts.Asks, &e.dead, func() { e.core.AskAnswered(s.time(), a.id, &st) })
 	}
 	s.send(&s.result.MessageCounts.Asks, &a.dead, func() {
 		holders := a.lender.Ask(e.id, ask.Demand)
@@ -206,7 +206,7 @@
 	}
 	st := a.status(e)
 	s.send(&s.result.MessageCounts.Recalls, &e.dead, func() {
-		e.core.Status(s.time(), &st)
+		e.core.ApplyStatus(s.time(), &st)
 		epoch, returned, demand := e.core.Recall(a.id)
 		s.send(&s.result.MessageCounts.Recalls, &a.dead, func() {
 			a.lender.Return(e.id, epoch, returned, demand)
@@ -225,7 +225,7 @@
 			}
 		}
 		st := a.status(e)
-		s.send(&s.result.MessageCounts.Seals, &e.dead, func() { e.core.Sealed(s.time(), &sent, decisions, &st) })
+		s.send(&s.result.MessageCounts.Seals, &e.dead, func() { e.core.SealAnswered(s.time(), &sent, decisions, &st) })
 	})
 }
 
@@ -233,15 +233,15 @@
 	s, a := e.sim, e.sim.agentByID(cl.Agent)
 	s.send(&s.result.MessageCounts.Claims, &a.dead, func() {
 		grants := a.gate.Claim(s.time(), &cl)
-		s.send(&s.result.MessageCounts.Claims, &e.dead, func() { e.core.Granted(s.time(), cl.Agent, grants) })
+		s.send(&s.result.MessageCounts.Claims, &e.dead, func() { e.core.ClaimAnswered(s.time(), cl.Agent, grants) })
 	})
 }
 
 func (e *entry) sendInquiry(q dispatch.SentInquiry) {
 	s, p := e.sim, e.sim.entryByID(q.To)
 	s.send(&s.result.MessageCounts.Inquiries, &p.dead, func() {
-		testimonies := p.core.Testify(s.time(), &q.Inquiry)
-		s.send(&s.result.MessageCounts.Inquiries, &e.dead, func() { e.core.Testified(s.time(), q.To, testimonies) })
+		testimonies := p.core.AnswerInquiry(s.time(), &q.Inquiry)
+		s.send(&s.result.MessageCounts.Inquiries, &e.dead, func() { e.core.InquiryAnswered(s.time(), q.To, testimonies) })
 	})
 }
 
@@ -261,7 +261,7 @@
 			a.lender.LendEvenShare(e.id)
 			st := a.status(e)
 			s.send(&s.result.MessageCounts.Heartbeats, &e.dead, func() {
-				e.core.Status(s.time(), &st)
+				e.core.ApplyStatus(s.time(), &st)
 				s.result.MessageCounts.Heartbeats++
 			})
 		}
--- a/bench/simulation.go
+++ b/bench/simulation.go
@@ -191,8 +191,8 @@
 	e := &entry{sim: s, id: s.registry.Entries[i].ID, index: i, lastContact: make([]time.Duration, numAgents), receivingEntry: make(map[job.Key]int), timerAt: -1}
 	e.core = dispatch.New(e.id, dispatch.Config{
 		Window: time.Minute, Retention: retention, UnclearLimit: 10 * time.Second, ClaimLimit: 3 * time.Second,
-		ShortClaim: 300 * time.Millisecond, SealRetry: 50 * time.Millisecond, StampLife: stampMaxAge - time.Second,
-		AskThreshold: w.Threshold, AskGain: w.AskGain, AskPause: 20 * time.Millisecond, MaxWaiting: 200_000,
+		ShortClaim: 300 * time.Millisecond, SealRetry: 50 * time.Millisecond, StampMaxAge: stampMaxAge - time.Second,
+		AskThreshold: w.Threshold, AskGain: w.AskGain, AskInterval: 20 * time.Millisecond, MaxWaiting: 200_000,
 	})
 	e.core.SetRegistry(dispatch.NewRegistry(e.id, &s.registry))
 	if q := s.scenario.Quota; q > 0 {
--- a/dispatch/agents.go
+++ b/dispatch/agents.go
@@ -81,8 +81,8 @@
 	return refs
 }
 
-// Status applies the status in an agent's message and dispatches what it allows.
-func (c *Core) Status(now time.Time, st *wire.Status) {
+// ApplyStatus applies the status in an agent's message and dispatches what it allows.
+func (c *Core) ApplyStatus(now time.Time, st *wire.Status) {
 	c.applyStatus(now, st)
 	if a := c.agents[st.Agent]; a != nil {
 		c.schedule(now, c.service(a.service))
@@ -105,8 +105,8 @@
 	a.stampReceived = now
 }
 
-// Asked takes the reply to a request for credits; st is nil if the call failed.
-func (c *Core) Asked(now time.Time, agent string, st *wire.Status) {
+// AskAnswered takes the reply to a request for credits; st is nil if the call failed.
+func (c *Core) AskAnswered(now time.Time, agent string, st *wire.Status) {
 	a := c.agents[agent]
 	if a == nil {
 		return
--- a/dispatch/calls_test.go
+++ b/dispatch/calls_test.go
@@ -17,12 +17,12 @@
 	inst := instance{e.id, args.Dispatch.Task.Job, e.instances[args.Dispatch.Task.Job]}
 	lost := func() {
 		if !e.dead {
-			e.core.RunLost(w.now, args.Dispatch.Attempt, true)
+			e.core.RunCallFailed(w.now, args.Dispatch.Attempt, true)
 		}
 	}
 	a := w.agentByID(r.Agent)
 	reply := func(rep wire.RunReply) {
-		w.toEntry(e, func() { e.core.RunDone(w.now, args.Dispatch.Attempt, &rep.Decision, &rep.Status) }, lost)
+		w.toEntry(e, func() { e.core.RunAnswered(w.now, args.Dispatch.Attempt, &rep.Decision, &rep.Status) }, lost)
 	}
 	w.toAgent(a, func() { w.admit(a, e, &args, inst, runningTask{reply: reply, lost: lost}) }, lost)
 }
@@ -112,7 +112,7 @@
 			}
 		}
 		st := w.status(a, e)
-		w.toEntry(e, func() { e.core.Sealed(w.now, &sent, decs, &st) }, noop)
+		w.toEntry(e, func() { e.core.SealAnswered(w.now, &sent, decs, &st) }, noop)
 	}, noop)
 }
 
@@ -127,7 +127,7 @@
 	w.toAgent(a, func() {
 		grants := a.gate.Claim(w.now, &cl)
 		w.tracef("%s: claim of %s for %s: %+v", a.id, e.id, cl.Agent, grants)
-		w.toEntry(e, func() { e.core.Granted(w.now, cl.Agent, grants) }, noop)
+		w.toEntry(e, func() { e.core.ClaimAnswered(w.now, cl.Agent, grants) }, noop)
 	}, noop)
 }
 
@@ -137,19 +137,19 @@
 		return
 	}
 	w.toEntry(p, func() {
-		ts := p.core.Testify(w.now, &q.Inquiry)
+		ts := p.core.AnswerInquiry(w.now, &q.Inquiry)
 		w.tracef("%s: inquiry of %s registry %d: %+v", p.id, e.id, q.Inquiry.Registry, ts)
-		w.toEntry(e, func() { e.core.Testified(w.now, p.id, ts) }, noop)
+		w.toEntry(e, func() { e.core.InquiryAnswered(w.now, p.id, ts) }, noop)
 	}, noop)
 }
 
 func (w *world) ask(e *simEntry, ask dispatch.Ask) {
 	a := w.agentByID(ask.Agent)
-	failed := func() { e.core.Asked(w.now, ask.Agent, nil) }
+	failed := func() { e.core.AskAnswered(w.now, ask.Agent, nil) }
 	w.toAgent(a, func() {
 		a.lender.Ask(e.id, ask.Demand)
 		st := w.status(a, e)
-		w.toEntry(e, func() { e.core.Asked(w.now, ask.Agent, &st) }, failed)
+		w.toEntry(e, func() { e.core.AskAnswered(w.now, ask.Agent, &st) }, failed)
 	}, failed)
 }
 
--- a/dispatch/claim.go
+++ b/dispatch/claim.go
@@ -97,8 +97,8 @@
 	out.Jobs = append(out.Jobs, gate.ClaimItem{Job: k, Ballot: cl.ballot})
 }
 
-// Granted takes an agent's answers to a claim.
-func (c *Core) Granted(now time.Time, agent string, grants []gate.Grant) {
+// ClaimAnswered takes an agent's answers to a claim.
+func (c *Core) ClaimAnswered(now time.Time, agent string, grants []gate.Grant) {
 	for i := range grants {
 		c.applyGrant(now, agent, &grants[i])
 	}
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -48,11 +48,11 @@
 	ClaimLimit   time.Duration // longest claim of a non-idempotent job
 	ShortClaim   time.Duration // longest claim of an idempotent job
 	SealRetry    time.Duration // first interval between seals of an attempt
-	StampLife    time.Duration // age at which agents refuse a stamp
+	StampMaxAge  time.Duration // age at which agents refuse a stamp
 	AskThreshold int           // number of waiting tasks from which the Core asks for credits
 	AskGain      float64       // ask a faster agent if its cost is below this share of the chosen agent's; 0 for never
 	FarPenalty   time.Duration // added to the cost of an agent in another data centre
-	AskPause     time.Duration // interval between requests for credits
+	AskInterval  time.Duration // interval between requests for credits
 	MaxWaiting   int           // most waiting tasks of one service
 	DataCentre   string
 }
--- a/dispatch/inquiry.go
+++ b/dispatch/inquiry.go
@@ -10,9 +10,9 @@
 	"masticbay/job"
 )
 
-// Testify answers an inquiry of another entry and promises to obey no ballot
+// AnswerInquiry answers an inquiry of another entry and promises to obey no ballot
 // lower than those that it grants.
-func (c *Core) Testify(now time.Time, q *claim.Inquiry) []claim.Testimony {
+func (c *Core) AnswerInquiry(now time.Time, q *claim.Inquiry) []claim.Testimony {
 	ts := make([]claim.Testimony, len(q.Jobs))
 	for i, it := range q.Jobs {
 		ts[i] = c.answerInquiryItem(now, q, it)
@@ -62,8 +62,8 @@
 	return b
 }
 
-// Testified applies the answers of another entry to an inquiry.
-func (c *Core) Testified(now time.Time, entry string, ts []claim.Testimony) {
+// InquiryAnswered applies the answers of another entry to an inquiry.
+func (c *Core) InquiryAnswered(now time.Time, entry string, ts []claim.Testimony) {
 	for i := range ts {
 		c.applyTestimony(now, entry, &ts[i])
 	}
--- a/dispatch/promises_test.go
+++ b/dispatch/promises_test.go
@@ -270,7 +270,7 @@
 	for _, it := range q.Inquiry.Jobs {
 		ts = append(ts, claim.Testimony{Job: it.Job, Ballot: it.Ballot, OK: true})
 	}
-	w.toEntry(e, func() { e.core.Testified(w.now, q.To, ts) }, noop)
+	w.toEntry(e, func() { e.core.InquiryAnswered(w.now, q.To, ts) }, noop)
 	return true
 }
 
@@ -284,7 +284,7 @@
 	for _, it := range cl.Jobs {
 		grants = append(grants, gate.Grant{Job: it.Job, Ballot: it.Ballot, OK: true})
 	}
-	w.toEntry(e, func() { e.core.Granted(w.now, cl.Agent, grants) }, noop)
+	w.toEntry(e, func() { e.core.ClaimAnswered(w.now, cl.Agent, grants) }, noop)
 	return true
 }
 
--- a/dispatch/reply.go
+++ b/dispatch/reply.go
@@ -9,8 +9,8 @@
 	"masticbay/wire"
 )
 
-// RunDone applies an agent's reply to a dispatch.
-func (c *Core) RunDone(now time.Time, attempt uint64, dec *gate.Decision, st *wire.Status) {
+// RunAnswered applies an agent's reply to a dispatch.
+func (c *Core) RunAnswered(now time.Time, attempt uint64, dec *gate.Decision, st *wire.Status) {
 	ref, open := c.attempts[attempt]
 	c.applyStatus(now, st)
 	if open {
@@ -22,10 +22,10 @@
 	}
 }
 
-// RunLost handles the failure of a call that carried a dispatch. If the dispatch
+// RunCallFailed handles the failure of a call that carried a dispatch. If the dispatch
 // never left this process, the task is queued again; otherwise its outcome is
 // unclear.
-func (c *Core) RunLost(now time.Time, attempt uint64, sent bool) {
+func (c *Core) RunCallFailed(now time.Time, attempt uint64, sent bool) {
 	ref, open := c.attempts[attempt]
 	if !open {
 		return
@@ -184,7 +184,7 @@
 		c.pushTasks(j, 1)
 		return
 	}
-	backoff := min(c.cfg.AskPause<<min(t.requeues-immediateRequeues, maxBackoffShift), maxRequeueBackoff)
+	backoff := min(c.cfg.AskInterval<<min(t.requeues-immediateRequeues, maxBackoffShift), maxRequeueBackoff)
 	c.timers.add(now.Add(backoff), timer{kind: requeueTimer, key: j.spec.Key})
 }
 
--- a/dispatch/scenario_test.go
+++ b/dispatch/scenario_test.go
@@ -67,7 +67,7 @@
 		d.t.Fatal("no inquiry was sent to the peer")
 	}
 	it := qs[len(qs)-1].Inquiry.Jobs[0]
-	d.core.Testified(d.now, "e2", []claim.Testimony{{Job: it.Job, Ballot: it.Ballot, OK: true, Traces: traces}})
+	d.core.InquiryAnswered(d.now, "e2", []claim.Testimony{{Job: it.Job, Ballot: it.Ballot, OK: true, Traces: traces}})
 }
 
 func TestClaimForYoungAgentIsRetried(t *testing.T) {
@@ -101,7 +101,7 @@
 		t.Fatalf("dispatches %+v, want none; seals %+v, want one of attempt 4 of e2", acts.Runs, acts.Seals)
 	}
 	st := wire.Status{Agent: "a1", Listed: 2, Slots: 4, Offer: credit.Offer{Epoch: 1, Granted: 4}}
-	d.core.Sealed(d.now, &acts.Seals[0], []gate.Decision{{Verdict: gate.Sealed}}, &st)
+	d.core.SealAnswered(d.now, &acts.Seals[0], []gate.Decision{{Verdict: gate.Sealed}}, &st)
 	if acts := d.advance(0); len(acts.Runs) != 1 {
 		t.Errorf("after the seal: dispatches %+v, want one", acts.Runs)
 	}
@@ -127,7 +127,7 @@
 		t.Fatalf("dispatches %+v, want one", acts.Runs)
 	}
 	q := claim.Inquiry{Entry: "e2", Registry: 3, Jobs: []gate.ClaimItem{{Job: "t/k", Ballot: gate.Ballot{N: 1, Entry: "e2"}}}}
-	ts := d.core.Testify(d.now, &q)
+	ts := d.core.AnswerInquiry(d.now, &q)
 	if !ts[0].OK || len(ts[0].Traces) != 1 || ts[0].Traces[0].State != job.Dispatched {
 		t.Fatalf("testimony %+v, want the promise and one trace of a dispatch", ts)
 	}
@@ -136,7 +136,7 @@
 	}
 	old := q
 	old.Registry = 2
-	if ts := d.core.Testify(d.now, &old); ts[0].OK || ts[0].Registry != 3 {
+	if ts := d.core.AnswerInquiry(d.now, &old); ts[0].OK || ts[0].Registry != 3 {
 		t.Errorf("claim over an old registry: testimony %+v, want revision 3 and no promise", ts)
 	}
 }
@@ -155,7 +155,7 @@
 	}
 	it := acts.Claims[0].Jobs[0]
 	rep := gate.Report{Task: gate.TaskID{Job: it.Job}, Phase: gate.Succeeded, Result: []byte("7")}
-	d.core.Granted(d.now, "a1", []gate.Grant{{Job: it.Job, Ballot: it.Ballot, OK: true, Reports: []gate.Report{rep}}})
+	d.core.ClaimAnswered(d.now, "a1", []gate.Grant{{Job: it.Job, Ballot: it.Ballot, OK: true, Reports: []gate.Report{rep}}})
 	if acts := d.advance(0); len(acts.Runs) > 0 || len(acts.Answers) != 1 || acts.Answers[0].Status != job.StatusComplete {
 		t.Errorf("after the claim: actions %+v, want only a complete answer", acts)
 	}
@@ -172,10 +172,10 @@
 		if afterRetention {
 			d.now = d.now.Add(retention)
 		}
-		d.core.RunLost(d.now, run.Args.Dispatch.Attempt, true)
+		d.core.RunCallFailed(d.now, run.Args.Dispatch.Attempt, true)
 		seals := d.advance(100 * time.Millisecond).Seals
 		st := wire.Status{Agent: "a1", Listed: 2, Slots: 4, Offer: credit.Offer{Epoch: 1, Granted: 4}}
-		d.core.Sealed(d.now, &seals[0], []gate.Decision{{Verdict: gate.Sealed}}, &st)
+		d.core.SealAnswered(d.now, &seals[0], []gate.Decision{{Verdict: gate.Sealed}}, &st)
 		acts := d.advance(2 * worldConfig.UnclearLimit)
 		if dispatched := len(acts.Runs) > 0; dispatched == afterRetention {
 			t.Errorf("seal after the retention: %t; dispatched again: %t", afterRetention, dispatched)
@@ -192,7 +192,7 @@
 	d := newCoreDriver(t, false)
 	d.core.SetRegistry(dispatch.Registry{Revision: 3, Entries: []string{"e2"}, Agents: map[string][]string{service: {"a1", "a2"}}})
 	ready := wire.Status{Agent: "a1", Listed: 2, Slots: 1, Offer: credit.Offer{Epoch: 2, Granted: 1}}
-	d.core.Status(d.now, &ready)
+	d.core.ApplyStatus(d.now, &ready)
 	young := wire.Status{Agent: "a2", Listed: 2, Young: true, Slots: 1, Offer: credit.Offer{Epoch: 1, Granted: 1}}
 	d.core.AgentUp(d.now, dispatch.AgentInfo{ID: "a2", Service: service}, &young)
 	d.submit(2, false)
@@ -202,11 +202,11 @@
 	}
 	ready.Offer.Granted = 3
 	busy := gate.Decision{Verdict: gate.Refused, Reason: gate.Busy}
-	d.core.RunDone(d.now, acts.Runs[0].Args.Dispatch.Attempt, &busy, &ready)
+	d.core.RunAnswered(d.now, acts.Runs[0].Args.Dispatch.Attempt, &busy, &ready)
 	if acts := d.advance(0); len(acts.Runs) > 0 {
 		t.Fatalf("dispatched during the claim: %+v", acts.Runs)
 	}
-	d.core.Testified(d.now, "e2", []claim.Testimony{{Job: "t/k", Ballot: acts.Inquiries[0].Inquiry.Jobs[0].Ballot, OK: true}})
+	d.core.InquiryAnswered(d.now, "e2", []claim.Testimony{{Job: "t/k", Ballot: acts.Inquiries[0].Inquiry.Jobs[0].Ballot, OK: true}})
 	if acts := d.advance(0); len(acts.Runs) != 2 {
 		t.Errorf("after the claim: %d dispatches, want 2", len(acts.Runs))
 	}
@@ -218,10 +218,10 @@
 	d := newCoreDriver(t, false)
 	d.core.SetIsolated(true)
 	newer := claim.Inquiry{Entry: "e2", Registry: 4, Jobs: []gate.ClaimItem{{Job: "t/other", Ballot: gate.Ballot{N: 1, Entry: "e2"}}}}
-	d.core.Testify(d.now, &newer)
+	d.core.AnswerInquiry(d.now, &newer)
 	d.submit(1, true)
 	it := d.advance(0).Claims[0].Jobs[0]
-	d.core.Granted(d.now, "a1", []gate.Grant{{Job: it.Job, Ballot: it.Ballot, OK: true}})
+	d.core.ClaimAnswered(d.now, "a1", []gate.Grant{{Job: it.Job, Ballot: it.Ballot, OK: true}})
 	if acts := d.advance(100 * time.Millisecond); len(acts.Runs) > 0 {
 		t.Errorf("dispatched over an old registry: %+v", acts.Runs)
 	}
--- a/dispatch/schedule.go
+++ b/dispatch/schedule.go
@@ -97,7 +97,7 @@
 
 // usable reports whether a task of j can be dispatched to a now.
 func (c *Core) usable(now time.Time, a *agent, j *activeJob) bool {
-	if a.balance.Available() == 0 || !c.acceptsWork(now, a) || now.Sub(a.stampReceived) >= c.cfg.StampLife {
+	if a.balance.Available() == 0 || !c.acceptsWork(now, a) || now.Sub(a.stampReceived) >= c.cfg.StampMaxAge {
 		return false
 	}
 	return a.eligible(j) && !c.registry.Suspended[a.id]
@@ -143,7 +143,7 @@
 		return false
 	}
 	s.queue.Remove(j.spec.Key)
-	c.timers.add(now.Add(c.cfg.AskPause), timer{kind: requeueTimer, key: j.spec.Key})
+	c.timers.add(now.Add(c.cfg.AskInterval), timer{kind: requeueTimer, key: j.spec.Key})
 	c.askIfStarved(now, s)
 	return true
 }
@@ -251,10 +251,10 @@
 	}
 	a := c.agentToAsk(now, s)
 	switch {
-	case a != nil && now.Sub(s.lastAsk) >= c.cfg.AskPause:
+	case a != nil && now.Sub(s.lastAsk) >= c.cfg.AskInterval:
 		c.ask(now, s, a)
 	case a != nil || s.running == 0:
-		c.timers.add(now.Add(c.cfg.AskPause), timer{kind: scheduleTimer, name: s.name})
+		c.timers.add(now.Add(c.cfg.AskInterval), timer{kind: scheduleTimer, name: s.name})
 	}
 }
 
--- a/dispatch/seal.go
+++ b/dispatch/seal.go
@@ -74,8 +74,8 @@
 	Attempts []uint64 // for each item, the attempt's number at this entry
 }
 
-// Sealed applies an agent's answer to a seal.
-func (c *Core) Sealed(now time.Time, s *SentSeal, decs []gate.Decision, st *wire.Status) {
+// SealAnswered applies an agent's answer to a seal.
+func (c *Core) SealAnswered(now time.Time, s *SentSeal, decs []gate.Decision, st *wire.Status) {
 	c.applyStatus(now, st)
 	for i := range decs {
 		if i < len(s.Attempts) {
--- a/dispatch/world_test.go
+++ b/dispatch/world_test.go
@@ -26,7 +26,7 @@
 var worldConfig = dispatch.Config{
 	Window: worldWindow, Retention: retention, UnclearLimit: 4 * time.Second, ClaimLimit: time.Second,
 	ShortClaim: 200 * time.Millisecond, SealRetry: 50 * time.Millisecond,
-	StampLife: 4 * time.Second, AskThreshold: 1, AskPause: 20 * time.Millisecond, MaxWaiting: 1000,
+	StampMaxAge: 4 * time.Second, AskThreshold: 1, AskInterval: 20 * time.Millisecond, MaxWaiting: 1000,
 }
 
 // world simulates several entries and agents with their decision code, without
--- a/entry/actions.go
+++ b/entry/actions.go
@@ -55,7 +55,7 @@
 	attempt := r.Args.Dispatch.Attempt
 	l := e.core.agents[r.Agent]
 	if l == nil {
-		e.core.dispatch.RunLost(e.clock.Now(), attempt, false)
+		e.core.dispatch.RunCallFailed(e.clock.Now(), attempt, false)
 		return
 	}
 	trace := e.traceOf(r.Args.Dispatch.Task.Job)
@@ -78,14 +78,14 @@
 func (e *Entry) takeRunReply(now time.Time, l *agentLink, attempt uint64, rep *wire.RunReply, err error) {
 	if err == nil {
 		e.recordContact(now, &rep.Status)
-		e.core.dispatch.RunDone(now, attempt, &rep.Decision, &rep.Status)
+		e.core.dispatch.RunAnswered(now, attempt, &rep.Decision, &rep.Status)
 		return
 	}
 	sent := !errors.Is(err, wire.ErrNotSent)
 	if !errors.Is(err, wire.ErrTimeout) {
 		e.markUnreachable(l, err)
 	}
-	e.core.dispatch.RunLost(now, attempt, sent)
+	e.core.dispatch.RunCallFailed(now, attempt, sent)
 }
 
 // markUnreachable marks an agent as unreachable and probes it until it answers
@@ -147,7 +147,7 @@
 	}
 	e.log.Info().Str("agent", l.info.ID).Msg("agent is reachable again")
 	e.recordContact(now, &rep.Status)
-	e.core.dispatch.Status(now, &rep.Status)
+	e.core.dispatch.ApplyStatus(now, &rep.Status)
 	return true
 }
 
@@ -174,7 +174,7 @@
 			return
 		}
 		e.post(func(now time.Time) {
-			e.core.dispatch.Sealed(now, &sent, rep.Decisions, &rep.Status)
+			e.core.dispatch.SealAnswered(now, &sent, rep.Decisions, &rep.Status)
 		})
 	}()
 }
@@ -194,7 +194,7 @@
 			return
 		}
 		e.post(func(now time.Time) {
-			e.core.dispatch.Granted(now, args.Claim.Agent, rep.Grants)
+			e.core.dispatch.ClaimAnswered(now, args.Claim.Agent, rep.Grants)
 		})
 	}()
 }
@@ -213,7 +213,7 @@
 		if err != nil || rep.Entry != to.ID {
 			return // the Core retries
 		}
-		e.post(func(now time.Time) { e.core.dispatch.Testified(now, to.ID, rep.Testimonies) })
+		e.post(func(now time.Time) { e.core.dispatch.InquiryAnswered(now, to.ID, rep.Testimonies) })
 	}()
 }
 
@@ -230,12 +230,12 @@
 		rep, err := wire.Call[wire.AskArgs, wire.AskReply](ctx, l.client, wire.AgentAsk, &args)
 		e.post(func(now time.Time) {
 			if err != nil {
-				e.core.dispatch.Asked(now, a.Agent, nil)
+				e.core.dispatch.AskAnswered(now, a.Agent, nil)
 				e.markUnreachable(l, err)
 				return
 			}
 			e.recordContact(now, &rep.Status)
-			e.core.dispatch.Asked(now, a.Agent, &rep.Status)
+			e.core.dispatch.AskAnswered(now, a.Agent, &rep.Status)
 		})
 	}()
 }
--- a/entry/methods.go
+++ b/entry/methods.go
@@ -111,7 +111,7 @@
 	e := m.e
 	r, err := callCore(context.Background(), e, func(now time.Time) (r wire.OfferReply) {
 		e.recordContact(now, &args.Status)
-		e.core.dispatch.Status(now, &args.Status)
+		e.core.dispatch.ApplyStatus(now, &args.Status)
 		if args.Recall {
 			r.Epoch, r.Returned, r.Demand = e.core.dispatch.Recall(args.Status.Agent)
 		}
@@ -203,7 +203,7 @@
 func (m *methods) Inquire(args *wire.InquireArgs, rep *wire.InquireReply) error {
 	e := m.e
 	testimonies, err := callCore(context.Background(), e, func(now time.Time) []claim.Testimony {
-		return e.core.dispatch.Testify(now, &args.Inquiry)
+		return e.core.dispatch.AnswerInquiry(now, &args.Inquiry)
 	})
 	rep.Entry, rep.Testimonies = e.id, testimonies
 	return err
--- a/entry/sweep.go
+++ b/entry/sweep.go
@@ -94,6 +94,6 @@
 			return
 		}
 		e.recordContact(now, &rep.Status)
-		e.core.dispatch.Status(now, &rep.Status)
+		e.core.dispatch.ApplyStatus(now, &rep.Status)
 	})
 }
