--- a/agent/agent.go
+++ b/agent/agent.go
@@ -57,7 +57,7 @@
 	id           string
 	address      string
 	metrics      *telemetry.Metrics
-	messages     *wire.Messages
+	messages     *wire.MessageCounter
 	counters     counters
 	target       *http.Client
 	server       *wire.Server
@@ -126,7 +126,7 @@
 		id:          id,
 		address:     address,
 		metrics:     telemetry.NewMetrics("agent"),
-		messages:    &wire.Messages{},
+		messages:    &wire.MessageCounter{},
 		target:      newTargetClient(opts.Target),
 		offers:      make(chan string, offerQueueSize),
 		announceNow: make(chan struct{}, 1),
@@ -153,7 +153,7 @@
 func (a *Agent) Done() <-chan struct{} { return a.stop }
 
 // Messages returns the counters of the messages that the agent has sent.
-func (a *Agent) Messages() *wire.Messages { return a.messages }
+func (a *Agent) Messages() *wire.MessageCounter { return a.messages }
 
 // status returns the agent's state as sent to an entry.
 func (a *Agent) status(entry string) wire.Status {
--- a/demo/fleet.go
+++ b/demo/fleet.go
@@ -46,7 +46,7 @@
 	agents   []*agent.Agent
 	agentCfg []setting.Agent
 	targets  []*target.Server
-	messages []*wire.Messages
+	messages []*wire.MessageCounter
 }
 
 const headerTimeout = 10 * time.Second
--- a/dispatch/events_test.go
+++ b/dispatch/events_test.go
@@ -178,7 +178,7 @@
 			if heir != "" {
 				e.heirs[a.id] = heir
 			}
-			e.watchdog.Ended(w.now, a.id)
+			e.watchdog.MarkEnded(w.now, a.id)
 			e.core.AgentGone(w.now, a.id, heir != "")
 			if heir != "" {
 				e.planChange(member.RemoveAgent{ID: a.id, Heir: heir})
@@ -202,7 +202,7 @@
 	a.lender.LendEvenShare(e.id)
 	st := w.status(a, e)
 	w.toEntry(e, func() {
-		e.watchdog.Announced(w.now, a.id)
+		e.watchdog.RecordAnnouncement(w.now, a.id)
 		e.core.AgentUp(w.now, dispatch.AgentInfo{ID: a.id, Service: service}, &st)
 		reg := e.view.Registry()
 		listed, ok := reg.Agent(a.id)
@@ -231,12 +231,12 @@
 	mine, asOf := *e.view.Registry(), w.now.Add(-e.view.Age(w.now))
 	w.toEntry(p, func() {
 		w.takeRegistry(p, mine)
-		p.view.Refresh(asOf)
+		p.view.ConfirmNewest(asOf)
 		p.view.Confirm(w.now, e.id, mine.EntriesHash())
 		theirs, asOf := *p.view.Registry(), w.now.Add(-p.view.Age(w.now))
 		w.toEntry(e, func() {
 			w.takeRegistry(e, theirs)
-			e.view.Refresh(asOf)
+			e.view.ConfirmNewest(asOf)
 			e.view.Confirm(w.now, p.id, theirs.EntriesHash())
 		}, noop)
 	}, noop)
@@ -268,13 +268,13 @@
 	}
 	e.plannedChanges = nil
 	w.takeRegistry(e, w.storedRegistry)
-	e.view.Refresh(w.now)
+	e.view.ConfirmNewest(w.now)
 }
 
 func (w *world) readRegistry(e *simEntry) {
 	if w.reachesStore(e) {
 		w.takeRegistry(e, w.storedRegistry)
-		e.view.Refresh(w.now)
+		e.view.ConfirmNewest(w.now)
 	}
 }
 
--- a/entry/actions.go
+++ b/entry/actions.go
@@ -154,7 +154,7 @@
 // recordContact records a message of an agent as contact with it.
 func (e *Entry) recordContact(now time.Time, st *wire.Status) {
 	if e.core.agents[st.Agent] != nil {
-		e.core.watchdog.Heard(now, st.Agent)
+		e.core.watchdog.RecordContact(now, st.Agent)
 	}
 }
 
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -63,7 +63,7 @@
 	startedAt time.Time
 	address   string
 	metrics   *telemetry.Metrics
-	messages  *wire.Messages
+	messages  *wire.MessageCounter
 	counters  counters
 	server    *wire.Server
 	web       *web.Server
@@ -170,7 +170,7 @@
 		startedAt:      opts.Clock.Now(),
 		address:        address,
 		metrics:        telemetry.NewMetrics("entry"),
-		messages:       &wire.Messages{},
+		messages:       &wire.MessageCounter{},
 		editor:         table.Editor{Store: opts.Store, Clock: opts.Clock, NewID: func() string { return identity.New("edit") }},
 		events:         make(chan event, eventBuffer),
 		stop:           make(chan struct{}),
@@ -232,7 +232,7 @@
 func (e *Entry) Done() <-chan struct{} { return e.stop }
 
 // Messages returns the counts of messages sent to other processes of the system.
-func (e *Entry) Messages() *wire.Messages { return e.messages }
+func (e *Entry) Messages() *wire.MessageCounter { return e.messages }
 
 func (e *Entry) newClient(address string) *wire.Client {
 	return wire.NewClient(address, wire.Options{Messages: e.messages, Network: e.network})
--- a/entry/methods.go
+++ b/entry/methods.go
@@ -43,7 +43,7 @@
 	e.endReplaced(now, args.Agent)
 	l := e.ensureLink(args.Agent)
 	l.info = args.Agent
-	e.core.watchdog.Announced(now, args.Agent.ID)
+	e.core.watchdog.RecordAnnouncement(now, args.Agent.ID)
 	info := dispatch.AgentInfo{ID: args.Agent.ID, Service: args.Agent.Service, DataCentre: args.Agent.DataCentre}
 	e.core.dispatch.AgentUp(now, info, &args.Status)
 	rep.Update = e.updatesFor(l, &args.Status)
@@ -97,7 +97,7 @@
 	}
 	l.ended = true
 	l.client.Close()
-	e.core.watchdog.Ended(now, id)
+	e.core.watchdog.MarkEnded(now, id)
 	if heir != "" {
 		e.core.heirs[id] = heir
 	}
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -211,7 +211,7 @@
 // endEntries records that entries have ended for good and tells the peers. It
 // reports whether that was new for any of them.
 func (e *Entry) endEntries(ids ...string) (isNew bool) {
-	if isNew = e.core.members.End(ids...); isNew {
+	if isNew = e.core.members.MarkEnded(ids...); isNew {
 		e.log.Info().Strs("entries", ids).Msg("entries have ended")
 		notify(e.peerWakeup)
 	}
@@ -228,7 +228,7 @@
 // time.
 func (e *Entry) confirmRevision(at time.Time, revision uint64) {
 	if e.core.members.Registry().Revision >= revision {
-		e.core.members.Refresh(at)
+		e.core.members.ConfirmNewest(at)
 	}
 }
 
--- a/entry/quota.go
+++ b/entry/quota.go
@@ -37,7 +37,7 @@
 // team whose limit a peer lends.
 func (e *Entry) wantsFrom(peer string) map[string]int {
 	wants := make(map[string]int)
-	for _, r := range e.rows.Current().Of(table.Team) {
+	for _, r := range e.rows.Current().OfKind(table.Team) {
 		if r.Limit > 0 && e.lenderOf(r.Name) == peer {
 			wants[r.Name] = e.core.dispatch.Want(r.Name)
 		}
@@ -84,7 +84,7 @@
 // refreshQuota lends to this entry itself, and sets the limits of teams to what
 // it holds.
 func (e *Entry) refreshQuota(now time.Time) {
-	rows := e.rows.Current().Of(table.Team)
+	rows := e.rows.Current().OfKind(table.Team)
 	for _, r := range rows {
 		if r.Limit > 0 && e.lenderOf(r.Name) == e.id {
 			amount := e.core.quota.lender.Lend(now, r.Name, e.id, e.needOf(r, e.core.dispatch.Want(r.Name)))
--- a/entry/sweep.go
+++ b/entry/sweep.go
@@ -21,7 +21,7 @@
 // and agents. It runs in the core loop.
 func (e *Entry) sweep(now time.Time) {
 	e.mayRun.Store(e.core.members.MayRun(now))
-	outOfContact := e.core.members.Silent(now)
+	outOfContact := e.core.members.OutOfContact(now)
 	e.outOfContact.Store(&outOfContact)
 	e.core.dispatch.SetIsolated(e.core.members.Isolated(now))
 	e.refreshQuota(now)
@@ -34,7 +34,7 @@
 			e.dropEnded(id)
 			continue
 		}
-		if !l.probing && e.core.watchdog.Silent(now, id) > limit {
+		if !l.probing && e.core.watchdog.SinceContact(now, id) > limit {
 			l.client.Reset()
 			e.markUnreachable(l, wire.ErrTimeout)
 		}
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -84,7 +84,7 @@
 	}
 	e.post(func(now time.Time) {
 		e.mergeState(now, reg, rows, latestRevision(rows))
-		e.core.members.Refresh(requestedAt)
+		e.core.members.ConfirmNewest(requestedAt)
 	})
 	return rev, nil
 }
@@ -131,7 +131,7 @@
 func (e *Entry) applyLimits(now time.Time) {
 	snap := e.rows.Current()
 	e.core.dispatch.SetLimits(now, dispatch.Limits{
-		Services: e.serviceShares(snap.Of(table.Service)),
-		Teams:    e.teamShares(now, snap.Of(table.Team)),
+		Services: e.serviceShares(snap.OfKind(table.Service)),
+		Teams:    e.teamShares(now, snap.OfKind(table.Team)),
 	})
 }
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -92,7 +92,7 @@
 	rev, err := d.st.Commit(c)
 	var changes []ledger.Change
 	if conflict, ok := errors.AsType[*store.ConflictError](err); ok {
-		if changes, deposed, err = d.l.Conflict(p, conflict.Have); err != nil {
+		if changes, deposed, err = d.l.Conflict(p, conflict.Current); err != nil {
 			d.t.Fatal(err)
 		}
 	} else {
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -58,7 +58,7 @@
 	joined := member.NewView("e1", window, contactTimeout, now)
 	joined.Update(now, registryOf(1, "e1", "e2"))
 	joined.Confirm(now, "e2", joined.Registry().EntriesHash())
-	if !joined.MustClaim(now, nameWithHome(*v.Registry(), "e1")) || !joined.Introduced(now) {
+	if !joined.MustClaim(now, nameWithHome(*v.Registry(), "e1")) || !joined.KnownToAll(now) {
 		t.Error("MustClaim is false for an entry that just joined, or it is not known to all")
 	}
 }
@@ -132,7 +132,7 @@
 			v.Confirm(now, "e2", v.Registry().EntriesHash())
 		}
 		if tc.refreshed {
-			v.Refresh(now.Add(-window / 2))
+			v.ConfirmNewest(now.Add(-window / 2))
 		}
 		if got := v.MayRun(now); got != tc.want {
 			t.Errorf("peer out of contact %t, registry refreshed %t: may run %t", tc.outOfContact, tc.refreshed, got)
@@ -146,7 +146,7 @@
 func TestEntryAloneStopsWithAnOldRegistry(t *testing.T) {
 	v := member.NewView("e1", window, contactTimeout, start)
 	v.Update(start, registryOf(1, "e1"))
-	v.Refresh(start)
+	v.ConfirmNewest(start)
 	if !v.MayRun(start.Add(window / 2)) {
 		t.Error("the entry stops although its registry is fresh")
 	}
@@ -161,7 +161,7 @@
 	r := registryOf(1, "e1")
 	r, _ = r.With([]member.Change{member.AddAgent{Agent: member.Agent{ID: "a1", Service: "s"}}})
 	v.Update(start, r)
-	w.Announced(start, "a1")
+	w.RecordAnnouncement(start, "a1")
 	got, removedAt := sweep(start, w, v, func(time.Time) {})
 	if want := "[member.SuspendAgent member.RemoveAgent]"; fmt.Sprint(got) != want {
 		t.Errorf("changes were %v, want %s", got, want)
--- a/member/view.go
+++ b/member/view.go
@@ -152,9 +152,9 @@
 	return v.lacksContactExcept(v.ended, now, v.window-v.contactTimeout)
 }
 
-// End records that listed entries have ended for good. It reports whether this
+// MarkEnded records that listed entries have ended for good. It reports whether this
 // was not known of some of them.
-func (v *View) End(ids ...string) (isNew bool) {
+func (v *View) MarkEnded(ids ...string) (isNew bool) {
 	for _, id := range ids {
 		if _, listed := v.current.Entry(id); listed && id != v.self && !v.ended[id] {
 			v.ended[id] = true
@@ -211,8 +211,8 @@
 	return !v.unsettled && !now.Before(v.settledAt)
 }
 
-// Silent returns the listed entries that are out of contact.
-func (v *View) Silent(now time.Time) map[string]bool {
+// OutOfContact returns the listed entries that are out of contact.
+func (v *View) OutOfContact(now time.Time) map[string]bool {
 	ids := make(map[string]bool)
 	for _, e := range v.current.Entries {
 		at, ok := v.confirmedAt[e.ID]
@@ -236,16 +236,16 @@
 	return listed
 }
 
-// Introduced reports whether at some time all listed entries have known this
+// KnownToAll reports whether at some time all listed entries have known this
 // one. Before that, a claim of theirs may not ask it, so it must not run jobs
 // that are not idempotent.
-func (v *View) Introduced(now time.Time) bool {
+func (v *View) KnownToAll(now time.Time) bool {
 	v.Observe(now)
 	return v.knownToAllOnce
 }
 
-// Refresh records that the key-value service had no newer registry at a time.
-func (v *View) Refresh(at time.Time) {
+// ConfirmNewest records that the key-value service had no newer registry at a time.
+func (v *View) ConfirmNewest(at time.Time) {
 	if at.After(v.newestAt) {
 		v.newestAt = at
 	}
@@ -269,7 +269,7 @@
 // and removed it.
 func (v *View) MayRun(now time.Time) bool {
 	stale := v.Age(now) > v.window-v.contactTimeout
-	return v.Introduced(now) && !(stale && (v.isAlone() || v.mayBeRemoved(now)))
+	return v.KnownToAll(now) && !(stale && (v.isAlone() || v.mayBeRemoved(now)))
 }
 
 // isAlone reports whether all other listed entries have ended.
--- a/member/watchdog.go
+++ b/member/watchdog.go
@@ -53,26 +53,26 @@
 	return a
 }
 
-// Heard records contact with an agent.
-func (w *Watchdog) Heard(now time.Time, id string) {
+// RecordContact records contact with an agent.
+func (w *Watchdog) RecordContact(now time.Time, id string) {
 	w.agent(now, id).lastContact = now
 }
 
-// Announced records that an agent announced itself to this entry.
-func (w *Watchdog) Announced(now time.Time, id string) {
+// RecordAnnouncement records that an agent announced itself to this entry.
+func (w *Watchdog) RecordAnnouncement(now time.Time, id string) {
 	a := w.agent(now, id)
 	a.lastContact = now
 	a.announces = true
 }
 
-// Ended records that an incarnation of an agent has ended for good.
-func (w *Watchdog) Ended(now time.Time, id string) {
+// MarkEnded records that an incarnation of an agent has ended for good.
+func (w *Watchdog) MarkEnded(now time.Time, id string) {
 	w.agent(now, id).ended = true
 }
 
-// Silent returns the time since the last contact with an agent that announces
+// SinceContact returns the time since the last contact with an agent that announces
 // itself to this entry. It is 0 for other agents and for those that have ended.
-func (w *Watchdog) Silent(now time.Time, id string) time.Duration {
+func (w *Watchdog) SinceContact(now time.Time, id string) time.Duration {
 	a := w.agents[id]
 	if a == nil || !a.announces || a.ended {
 		return 0
--- a/site/home_ledger.go
+++ b/site/home_ledger.go
@@ -202,11 +202,11 @@
 		changes = h.ledger.Committed(pending, rev)
 	case conflicts:
 		var deposed bool
-		if changes, deposed, err = h.ledger.Conflict(pending, conflict.Have); err != nil {
+		if changes, deposed, err = h.ledger.Conflict(pending, conflict.Current); err != nil {
 			h.e.log.Error().Err(err).Msg("ledger: cannot decode the holder")
 			return
 		}
-		h.e.log.Info().Bool("deposed", deposed).Str("holder", h.ledger.Holder()).Uint64("revision", conflict.Have.Revision).Msg("ledger: the condition of a commit does not hold")
+		h.e.log.Info().Bool("deposed", deposed).Str("holder", h.ledger.Holder()).Uint64("revision", conflict.Current.Revision).Msg("ledger: the condition of a commit does not hold")
 		if deposed {
 			h.deposedAt = now
 			h.redirectWaiters()
--- a/site/home_route.go
+++ b/site/home_route.go
@@ -73,7 +73,7 @@
 	case err != nil:
 		return 0, err
 	case rep.Conflict != nil:
-		return 0, &store.ConflictError{Have: *rep.Conflict}
+		return 0, &store.ConflictError{Current: *rep.Conflict}
 	}
 	return rep.Revision, nil
 }
@@ -154,7 +154,7 @@
 		defer cancel()
 		rep.Revision, err = e.store.Commit(ctx, args.Commit)
 		if conflict, ok := errors.AsType[*store.ConflictError](err); ok {
-			rep.Conflict, err = &conflict.Have, nil
+			rep.Conflict, err = &conflict.Current, nil
 		}
 	case args.Key != "":
 		var it store.Item
--- a/store/memory.go
+++ b/store/memory.go
@@ -131,7 +131,7 @@
 	m.expireLeases()
 	if guard := m.items[c.Guard].Item; c.Guard != "" && guard.Revision != c.Revision {
 		guard.Key = c.Guard
-		return 0, &ConflictError{Have: guard}
+		return 0, &ConflictError{Current: guard}
 	}
 	m.rev++
 	for _, w := range c.Writes {
--- a/store/store.go
+++ b/store/store.go
@@ -62,12 +62,12 @@
 
 // ConflictError reports that the guard of a Commit has another revision.
 type ConflictError struct {
-	Have Item // the guard as stored; with revision 0 if it does not exist
+	Current Item // the guard as stored; with revision 0 if it does not exist
 }
 
 // Error implements error.
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("key %q has revision %d", e.Have.Key, e.Have.Revision)
+	return fmt.Sprintf("key %q has revision %d", e.Current.Key, e.Current.Revision)
 }
 
 // ErrNoLease is the cause of the error if a lease has expired.
--- a/table/snapshot.go
+++ b/table/snapshot.go
@@ -35,8 +35,8 @@
 	return rows
 }
 
-// Of returns the rows of one kind that are not removed.
-func (s *Snapshot) Of(kind Kind) (rows []Row) {
+// OfKind returns the rows of one kind that are not removed.
+func (s *Snapshot) OfKind(kind Kind) (rows []Row) {
 	for _, r := range s.Rows(0) {
 		if r.Kind == kind && !r.Removed {
 			rows = append(rows, r)
--- a/wire/client.go
+++ b/wire/client.go
@@ -23,10 +23,10 @@
 
 // Options configures a Client. The zero value is usable.
 type Options struct {
-	DialTimeout  time.Duration // 1 s if zero
-	WriteTimeout time.Duration // 2 s if zero
-	Messages     *Messages     // counts messages if set
-	Network      Network       // TCP if nil
+	DialTimeout  time.Duration   // 1 s if zero
+	WriteTimeout time.Duration   // 2 s if zero
+	Messages     *MessageCounter // counts messages if set
+	Network      Network         // TCP if nil
 }
 
 // Client calls one peer. It dials when a call needs a connection, and closes
@@ -143,7 +143,7 @@
 type deadlineConn struct {
 	net.Conn
 	timeout  time.Duration
-	messages *Messages
+	messages *MessageCounter
 }
 
 func (c *deadlineConn) Write(p []byte) (int, error) {
--- a/wire/message_counter.go
+++ b/wire/message_counter.go
@@ -5,9 +5,9 @@
 	"sync/atomic"
 )
 
-// Messages counts the messages that a process sends to other processes of the
+// MessageCounter counts the messages that a process sends to other processes of the
 // system. The zero value is ready to use. It is safe for concurrent use.
-type Messages struct {
+type MessageCounter struct {
 	requests atomic.Uint64
 	replies  atomic.Uint64
 	bytes    atomic.Uint64
@@ -15,7 +15,7 @@
 }
 
 // countRequest counts a request that calls method.
-func (m *Messages) countRequest(method string) {
+func (m *MessageCounter) countRequest(method string) {
 	m.requests.Add(1)
 	n, ok := m.methods.Load(method)
 	if !ok {
@@ -25,26 +25,26 @@
 }
 
 // Requests returns the number of requests sent.
-func (m *Messages) Requests() uint64 { return m.requests.Load() }
+func (m *MessageCounter) Requests() uint64 { return m.requests.Load() }
 
 // Replies returns the number of replies sent.
-func (m *Messages) Replies() uint64 { return m.replies.Load() }
+func (m *MessageCounter) Replies() uint64 { return m.replies.Load() }
 
 // Total returns the number of messages sent.
-func (m *Messages) Total() uint64 { return m.Requests() + m.Replies() }
+func (m *MessageCounter) Total() uint64 { return m.Requests() + m.Replies() }
 
 // Bytes returns the number of bytes sent.
-func (m *Messages) Bytes() uint64 { return m.bytes.Load() }
+func (m *MessageCounter) Bytes() uint64 { return m.bytes.Load() }
 
 // countBytes adds n to the bytes sent; m may be nil.
-func (m *Messages) countBytes(n int) {
+func (m *MessageCounter) countBytes(n int) {
 	if m != nil {
 		m.bytes.Add(uint64(n))
 	}
 }
 
 // ByMethod returns the number of requests sent, by method.
-func (m *Messages) ByMethod() map[string]uint64 {
+func (m *MessageCounter) ByMethod() map[string]uint64 {
 	counts := make(map[string]uint64)
 	m.methods.Range(func(method, n any) bool {
 		counts[method.(string)] = n.(*atomic.Uint64).Load()
--- a/wire/server.go
+++ b/wire/server.go
@@ -11,7 +11,7 @@
 // Server serves the methods of one process. NewServer makes one.
 type Server struct {
 	rpc      *rpc.Server
-	messages *Messages
+	messages *MessageCounter
 
 	mu     sync.Mutex // guards the fields below
 	conns  map[net.Conn]struct{}
@@ -21,7 +21,7 @@
 
 // NewServer returns a Server that serves the methods of receiver under name. It
 // counts its replies in m, which may be nil.
-func NewServer(name string, receiver any, m *Messages) (s *Server, err error) {
+func NewServer(name string, receiver any, m *MessageCounter) (s *Server, err error) {
 	defer func() { err = errors.Annotatef(err, "registering the methods of %s", name) }()
 	s = &Server{rpc: rpc.NewServer(), messages: m, conns: make(map[net.Conn]struct{})}
 	return s, s.rpc.RegisterName(name, receiver)
