--- a/agent/agent.go
+++ b/agent/agent.go
@@ -131,7 +131,7 @@
 		offers:      make(chan string, offerQueueSize),
 		announceNow: make(chan struct{}, 1),
 		stop:        make(chan struct{}),
-		gate:        gate.New(id, gate.Config{Window: p.Retention(), StampMaxAge: p.StampLife.D()}, now),
+		gate:        gate.New(id, gate.Config{Window: p.Retention(), StampMaxAge: p.StampMaxAge.D()}, now),
 		lender:      credit.NewLender(p.CreditThreshold()),
 		links:       make(map[string]*link),
 	}
--- a/agent/call.go
+++ b/agent/call.go
@@ -42,7 +42,7 @@
 // callTarget runs one task. It reports false if the target was certainly not
 // reached.
 func (a *Agent) callTarget(ctx context.Context, d *gate.Dispatch) (rep gate.Report, reached bool) {
-	ctx, span := telemetry.Span(telemetry.Extract(ctx, d.Trace), "agent → target")
+	ctx, span := telemetry.StartSpan(telemetry.Extract(ctx, d.Trace), "agent → target")
 	defer span.End()
 	startedAt := a.clock.Now()
 	rep = gate.Report{Task: d.Task}
--- a/agent/link.go
+++ b/agent/link.go
@@ -26,7 +26,7 @@
 // announceDuty sends heartbeats to the entries. An entry that was called or has
 // answered within the heartbeat interval gets none.
 func (a *Agent) announceDuty() {
-	tick := time.NewTicker(a.cfg.Policy.Heartbeat.D() / checksPerHeartbeat)
+	tick := time.NewTicker(a.cfg.Policy.HeartbeatInterval.D() / checksPerHeartbeat)
 	defer tick.Stop()
 	for {
 		for _, l := range a.dueLinks() {
@@ -71,11 +71,11 @@
 const idleHeartbeatFactor = 4
 
 func (a *Agent) heartbeatIntervalLocked(l *link) time.Duration {
-	d := a.cfg.Policy.Heartbeat.D() * time.Duration(max(1, l.stretch))
+	d := a.cfg.Policy.HeartbeatInterval.D() * time.Duration(max(1, l.stretch))
 	if !a.lender.HoldsSlots(l.entry) {
 		return d * idleHeartbeatFactor
 	}
-	return min(d, a.cfg.Policy.StampLife.D()/2) // otherwise its credits would expire
+	return min(d, a.cfg.Policy.StampMaxAge.D()/2) // otherwise its credits would expire
 }
 
 // wantedAddressesLocked returns the addresses of the entries to lend to. It closes
--- a/agent/metrics.go
+++ b/agent/metrics.go
@@ -33,8 +33,8 @@
 
 // metricsDuty updates the metrics that are sampled.
 func (a *Agent) metricsDuty() {
-	requests := a.metrics.NewDelta("messages_requests")
-	replies := a.metrics.NewDelta("messages_replies")
+	requests := a.metrics.NewTotalCounter("messages_requests")
+	replies := a.metrics.NewTotalCounter("messages_replies")
 	scope := a.metrics.Scope()
 	slots, running := scope.Gauge("slots"), scope.Gauge("running")
 	jobs, attempts := scope.Gauge("records_jobs"), scope.Gauge("records_attempts")
--- a/agent/target.go
+++ b/agent/target.go
@@ -54,7 +54,7 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !ann.Overtakes(&a.announced) {
+	if !ann.SentAfter(&a.announced) {
 		a.log.Info().Str("target", ann.Name).Uint64("seq", ann.Seq).Uint64("taken", a.announced.Seq).Msg("late announcement ignored")
 		return nil
 	}
@@ -94,7 +94,7 @@
 		slots = 0
 	}
 	a.lender.SetSlots(slots)
-	outOfContact := a.clock.Now().Sub(a.lastTargetContact) > a.cfg.TargetLost.D()
+	outOfContact := a.clock.Now().Sub(a.lastTargetContact) > a.cfg.TargetLostAfter.D()
 	mustDrain := a.stopping || outOfContact || row.Drain || row.Removed
 	if mustDrain == a.gate.Draining() {
 		return
@@ -121,7 +121,7 @@
 
 // targetDuty detects that the target is out of contact.
 func (a *Agent) targetDuty() {
-	tick := time.NewTicker(a.cfg.TargetLost.D() / 3)
+	tick := time.NewTicker(a.cfg.TargetLostAfter.D() / 3)
 	defer tick.Stop()
 	for {
 		select {
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -205,7 +205,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rep := Report{Jobs: r.cfg.Jobs, Unanswered: r.unanswered, Resubmitted: r.resubmitted}
-	verdict := Judge(r.answers, r.fleet.Journals())
+	verdict := Verify(r.answers, r.fleet.Journals())
 	rep.TasksStarted = verdict.Started
 	rep.StartedTwice = verdict.StartedTwice
 	rep.NotRunButStarted = verdict.NotRunButStarted
--- a/demo/fleet.go
+++ b/demo/fleet.go
@@ -107,7 +107,7 @@
 func (f *Fleet) configure() error {
 	policy := setting.Default[setting.Entry]().Policy
 	policy.Window = setting.Duration(resubmitWindow)
-	policy.Heartbeat = setting.Duration(500 * time.Millisecond)
+	policy.HeartbeatInterval = setting.Duration(500 * time.Millisecond)
 	policy.PeerInterval = setting.Duration(200 * time.Millisecond)
 	policy.UnclearLimit = setting.Duration(2 * time.Second)
 	policy.ClaimLimit = setting.Duration(time.Second)
--- a/demo/verify.go
+++ b/demo/verify.go
@@ -14,8 +14,8 @@
 	DoneButNotRun    int // tasks with a result that never started
 }
 
-// Wrong reports whether any guarantee was violated.
-func (v *Verdict) Wrong() bool {
+// HasViolations reports whether any guarantee was violated.
+func (v *Verdict) HasViolations() bool {
 	return v.StartedTwice+v.NotRunButStarted+v.Partial+v.DoneButNotRun > 0
 }
 
@@ -24,8 +24,8 @@
 	index int
 }
 
-// Judge compares the answers that callers got with the journals of all targets.
-func Judge(answers []job.Answer, journals []map[target.Started]int) (v Verdict) {
+// Verify compares the answers that callers got with the journals of all targets.
+func Verify(answers []job.Answer, journals []map[target.Started]int) (v Verdict) {
 	starts := make(map[target.Started]int)
 	ran := make(map[taskID]bool)
 	for _, j := range journals {
--- a/entry/actions.go
+++ b/entry/actions.go
@@ -61,7 +61,7 @@
 	trace := e.traceOf(r.Args.Dispatch.Task.Job)
 	args := r.Args
 	go func() {
-		ctx, span := telemetry.Span(telemetry.Extract(context.Background(), trace), "entry → agent")
+		ctx, span := telemetry.StartSpan(telemetry.Extract(context.Background(), trace), "entry → agent")
 		defer span.End()
 		args.Dispatch.Trace = telemetry.Inject(ctx)
 		ctx, cancel := context.WithTimeout(ctx, args.Dispatch.StartWithin+runGrace)
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -40,8 +40,8 @@
 
 // newReport returns a function that updates all metrics.
 func (e *Entry) newReport() func() {
-	requests := e.metrics.NewDelta("messages_requests")
-	replies := e.metrics.NewDelta("messages_replies")
+	requests := e.metrics.NewTotalCounter("messages_requests")
+	replies := e.metrics.NewTotalCounter("messages_replies")
 	totals := newCoreTotals(e.metrics)
 	open := e.metrics.Scope().Gauge("jobs_open")
 	agents := e.metrics.Scope().Gauge("agents")
@@ -60,26 +60,26 @@
 
 // coreTotals holds the metrics that are set from the totals of the Core.
 type coreTotals struct {
-	submitted, attached, refused, complete, failed *telemetry.Delta
-	dispatched, requeued, seals, claims            *telemetry.Delta
-	claimsIncomplete, unclear, notRun, unknown     *telemetry.Delta
+	submitted, attached, refused, complete, failed *telemetry.TotalCounter
+	dispatched, requeued, seals, claims            *telemetry.TotalCounter
+	claimsIncomplete, unclear, notRun, unknown     *telemetry.TotalCounter
 }
 
 func newCoreTotals(m *telemetry.Metrics) *coreTotals {
 	return &coreTotals{
-		submitted:        m.NewDelta("jobs_submitted"),
-		attached:         m.NewDelta("jobs_attached"),
-		refused:          m.NewDelta("jobs_refused"),
-		complete:         m.NewDelta("jobs_complete"),
-		failed:           m.NewDelta("jobs_failed"),
-		dispatched:       m.NewDelta("tasks_dispatched"),
-		requeued:         m.NewDelta("tasks_requeued"),
-		seals:            m.NewDelta("seals"),
-		claims:           m.NewDelta("claims"),
-		claimsIncomplete: m.NewDelta("claims_incomplete"),
-		unclear:          m.NewDelta("tasks_unclear"),
-		notRun:           m.NewDelta("tasks_not_run"),
-		unknown:          m.NewDelta("tasks_unknown"),
+		submitted:        m.NewTotalCounter("jobs_submitted"),
+		attached:         m.NewTotalCounter("jobs_attached"),
+		refused:          m.NewTotalCounter("jobs_refused"),
+		complete:         m.NewTotalCounter("jobs_complete"),
+		failed:           m.NewTotalCounter("jobs_failed"),
+		dispatched:       m.NewTotalCounter("tasks_dispatched"),
+		requeued:         m.NewTotalCounter("tasks_requeued"),
+		seals:            m.NewTotalCounter("seals"),
+		claims:           m.NewTotalCounter("claims"),
+		claimsIncomplete: m.NewTotalCounter("claims_incomplete"),
+		unclear:          m.NewTotalCounter("tasks_unclear"),
+		notRun:           m.NewTotalCounter("tasks_not_run"),
+		unknown:          m.NewTotalCounter("tasks_unknown"),
 	}
 }
 
--- a/entry/submit.go
+++ b/entry/submit.go
@@ -43,7 +43,7 @@
 // *job.RefusedError if nothing of the submission ran, and the error of ctx if
 // the caller stopped waiting.
 func (e *Entry) Submit(ctx context.Context, spec job.Spec) (ans job.Answer, err error) {
-	ctx, span := telemetry.Span(ctx, "submit")
+	ctx, span := telemetry.StartSpan(ctx, "submit")
 	defer span.End()
 	s := submission{spec: spec, id: identity.New("submission"), trace: telemetry.Inject(ctx)}
 	ans, err = e.resolve(ctx, s)
@@ -159,7 +159,7 @@
 
 // forward sends a submission to another entry and waits for the answer.
 func (e *Entry) forward(ctx context.Context, to member.Entry, s *submission) (rep *wire.SubmitReply, err error) {
-	ctx, span := telemetry.Span(ctx, "entry → entry")
+	ctx, span := telemetry.StartSpan(ctx, "entry → entry")
 	defer span.End()
 	now := e.clock.Now()
 	spec, _ := s.remaining(now)
--- a/entry/sweep.go
+++ b/entry/sweep.go
@@ -10,7 +10,7 @@
 )
 
 func (e *Entry) sweepInterval() time.Duration {
-	return min(maxSleep, e.cfg.Policy.Heartbeat.D())
+	return min(maxSleep, e.cfg.Policy.HeartbeatInterval.D())
 }
 
 // contactTimeoutHeartbeats is the number of heartbeat intervals without contact
@@ -28,7 +28,7 @@
 	maps.DeleteFunc(e.core.leavingSince, func(_ string, at time.Time) bool {
 		return now.Sub(at) > e.cfg.Policy.Retention()
 	})
-	limit := time.Duration(contactTimeoutHeartbeats*e.stretch()) * e.cfg.Policy.Heartbeat.D()
+	limit := time.Duration(contactTimeoutHeartbeats*e.stretch()) * e.cfg.Policy.HeartbeatInterval.D()
 	for id, l := range e.core.agents {
 		if l.ended {
 			e.dropEnded(id)
--- a/failure/site_test.go
+++ b/failure/site_test.go
@@ -69,7 +69,7 @@
 func newSite(t *testing.T, entries int, changes ...func(*policy)) *site {
 	policy := setting.Default[setting.Entry]().Policy
 	policy.Window = setting.Duration(window)
-	policy.Heartbeat = setting.Duration(time.Second)
+	policy.HeartbeatInterval = setting.Duration(time.Second)
 	policy.PeerInterval = setting.Duration(500 * time.Millisecond)
 	for _, change := range changes {
 		change(&policy)
@@ -212,7 +212,7 @@
 	for _, o := range s.ops {
 		answers = append(answers, o.answer)
 	}
-	if verdict := demo.Judge(answers, journals); verdict.Wrong() {
+	if verdict := demo.Verify(answers, journals); verdict.HasViolations() {
 		s.t.Errorf("guarantees were broken: %+v", verdict)
 	}
 	for key, ops := range groupByKey(s.ops) {
--- a/integration/site_test.go
+++ b/integration/site_test.go
@@ -340,8 +340,8 @@
 			s.t.Logf("%s: %s %+v", answers[i].Key, answers[i].Reason, answers[i].Counts)
 		}
 	}
-	v = demo.Judge(answers, journals)
-	if v.Wrong() {
+	v = demo.Verify(answers, journals)
+	if v.HasViolations() {
 		s.t.Errorf("guarantees were broken: %+v", v)
 	}
 	s.t.Logf("%d answers, %d failed, %+v", len(answers), failed, v)
--- a/setting/role.go
+++ b/setting/role.go
@@ -20,16 +20,16 @@
 // Policy holds the options that affect placement and outcomes. All entries and
 // agents of an installation must have the same values.
 type Policy struct {
-	Preset       string   `toml:"preset" default:"response" oneof:"response messages" doc:"what to optimise for: response time or few wasted messages"`
-	Window       Duration `toml:"window" default:"1m" min:"1s" max:"1h" doc:"how long after its deadline a job may be resubmitted under its key"`
-	UnclearLimit Duration `toml:"unclearLimit" default:"10s" min:"100ms" max:"10m" doc:"longest wait to learn whether a task started whose agent is unreachable"`
-	ClaimLimit   Duration `toml:"claimLimit" default:"3s" min:"50ms" max:"1m" doc:"time limit of a claim for a job that is not idempotent"`
-	ShortClaim   Duration `toml:"shortClaim" default:"300ms" min:"10ms" max:"1m" doc:"time limit of a claim for an idempotent job"`
-	StampLife    Duration `toml:"stampLife" default:"30s" min:"1s" max:"10m" doc:"longest time between an agent's last message and the arrival of a dispatch that relies on it"`
-	Heartbeat    Duration `toml:"heartbeat" default:"5s" min:"50ms" max:"1m" doc:"interval at which an idle agent sends heartbeats to an entry"`
-	PeerInterval Duration `toml:"peerInterval" default:"2s" min:"20ms" max:"1m" doc:"interval between messages from one entry to another"`
-	Homes        int      `toml:"homes" default:"1" min:"1" max:"64" doc:"number of entries over which the jobs of one service are spread by key"`
-	EntrySubset  int      `toml:"entrySubset" default:"8" min:"1" max:"64" doc:"number of entries to which one agent lends credits"`
+	Preset               string   `toml:"preset" default:"response" oneof:"response messages" doc:"what to optimise for: response time or few wasted messages"`
+	Window               Duration `toml:"window" default:"1m" min:"1s" max:"1h" doc:"how long after its deadline a job may be resubmitted under its key"`
+	UnclearLimit         Duration `toml:"unclearLimit" default:"10s" min:"100ms" max:"10m" doc:"longest wait to learn whether a task started whose agent is unreachable"`
+	ClaimLimit           Duration `toml:"claimLimit" default:"3s" min:"50ms" max:"1m" doc:"time limit of a claim for a job that is not idempotent"`
+	IdempotentClaimLimit Duration `toml:"shortClaim" default:"300ms" min:"10ms" max:"1m" doc:"time limit of a claim for an idempotent job"`
+	StampMaxAge          Duration `toml:"stampLife" default:"30s" min:"1s" max:"10m" doc:"longest time between an agent's last message and the arrival of a dispatch that relies on it"`
+	HeartbeatInterval    Duration `toml:"heartbeat" default:"5s" min:"50ms" max:"1m" doc:"interval at which an idle agent sends heartbeats to an entry"`
+	PeerInterval         Duration `toml:"peerInterval" default:"2s" min:"20ms" max:"1m" doc:"interval between messages from one entry to another"`
+	Homes                int      `toml:"homes" default:"1" min:"1" max:"64" doc:"number of entries over which the jobs of one service are spread by key"`
+	EntrySubset          int      `toml:"entrySubset" default:"8" min:"1" max:"64" doc:"number of entries to which one agent lends credits"`
 }
 
 // Entry holds the settings of an entry.
@@ -68,16 +68,16 @@
 
 // Agent holds the settings of an agent.
 type Agent struct {
-	Role        string   `toml:"role" default:"agent" oneof:"agent" doc:"kind of process that the file is for"`
-	RPC         string   `toml:"rpc" default:"127.0.0.1:7411" format:"address" doc:"listen address for other processes of the system"`
-	Advertise   string   `toml:"advertise" format:"address" doc:"address at which entries reach the agent, if it differs from rpc"`
-	HTTP        string   `toml:"http" default:"127.0.0.1:7412" format:"address" doc:"listen address for the target's announcements and the metrics"`
-	Entries     []string `toml:"entries" format:"addresses" required:"" doc:"rpc addresses of some entries, from which the agent learns the others"`
-	TargetLost  Duration `toml:"targetLost" default:"3s" min:"100ms" max:"1m" doc:"time without an announcement after which the target gets no new task"`
-	StopTimeout Duration `toml:"stopTimeout" default:"2m" min:"1s" max:"1h" doc:"longest planned stop"`
-	MaxResult   int      `toml:"maxResult" default:"65536" min:"64" max:"1048576" doc:"most bytes in the result of one task"`
-	Common      Common   `toml:"common"`
-	Policy      Policy   `toml:"policy"`
+	Role            string   `toml:"role" default:"agent" oneof:"agent" doc:"kind of process that the file is for"`
+	RPC             string   `toml:"rpc" default:"127.0.0.1:7411" format:"address" doc:"listen address for other processes of the system"`
+	Advertise       string   `toml:"advertise" format:"address" doc:"address at which entries reach the agent, if it differs from rpc"`
+	HTTP            string   `toml:"http" default:"127.0.0.1:7412" format:"address" doc:"listen address for the target's announcements and the metrics"`
+	Entries         []string `toml:"entries" format:"addresses" required:"" doc:"rpc addresses of some entries, from which the agent learns the others"`
+	TargetLostAfter Duration `toml:"targetLost" default:"3s" min:"100ms" max:"1m" doc:"time without an announcement after which the target gets no new task"`
+	StopTimeout     Duration `toml:"stopTimeout" default:"2m" min:"1s" max:"1h" doc:"longest planned stop"`
+	MaxResult       int      `toml:"maxResult" default:"65536" min:"64" max:"1048576" doc:"most bytes in the result of one task"`
+	Common          Common   `toml:"common"`
+	Policy          Policy   `toml:"policy"`
 }
 
 // Site holds masticbay's own settings of a process on the users' platform. All
--- a/site/agent.go
+++ b/site/agent.go
@@ -198,7 +198,7 @@
 }
 
 func (a *Agent) startRun(o worker.Order) {
-	ctx, span := telemetry.Span(telemetry.Extract(context.Background(), o.Start.Trace), "agent → worker")
+	ctx, span := telemetry.StartSpan(telemetry.Extract(context.Background(), o.Start.Trace), "agent → worker")
 	defer span.End()
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
--- a/site/entry_run.go
+++ b/site/entry_run.go
@@ -104,7 +104,7 @@
 
 // runAt hands a job to a home and waits for the outcome.
 func (e *Entry) runAt(ctx context.Context, m roster.Member, args *RunArgs) (out work.Outcome, moved bool, err error) {
-	ctx, span := telemetry.Span(ctx, "entry → home")
+	ctx, span := telemetry.StartSpan(ctx, "entry → home")
 	defer span.End()
 	args.Job.Trace = telemetry.Inject(ctx)
 	if m.Life == e.life {
--- a/site/entry_web.go
+++ b/site/entry_web.go
@@ -103,7 +103,7 @@
 	s.Job.Left = platform.CallerTimeout(r, defaultCallerWait)
 	ctx, release := e.callerContext(r.Context(), s.Job.Left)
 	defer release()
-	ctx, span := telemetry.Span(ctx, "submit")
+	ctx, span := telemetry.StartSpan(ctx, "submit")
 	defer span.End()
 	span.SetAttributes(attribute.String("job", id))
 	out := e.submit(ctx, s.Job, receivedAt)
--- a/target/protocol.go
+++ b/target/protocol.go
@@ -51,9 +51,9 @@
 	Seq  uint64 `json:"seq,omitempty"`
 }
 
-// Overtakes reports whether a was sent after b. It is also true if their order
+// SentAfter reports whether a was sent after b. It is also true if their order
 // is unknown, because Life is empty or differs.
-func (a *Announcement) Overtakes(b *Announcement) bool {
+func (a *Announcement) SentAfter(b *Announcement) bool {
 	return a.Life == "" || a.Life != b.Life || a.Seq > b.Seq
 }
 
--- a/telemetry/metrics.go
+++ b/telemetry/metrics.go
@@ -41,19 +41,19 @@
 // Close stops the reporter.
 func (m *Metrics) Close() { _ = m.closer.Close() }
 
-// Delta is a counter that is set from a total that never decreases.
-type Delta struct {
+// TotalCounter is a counter that is set from a total that never decreases.
+type TotalCounter struct {
 	counter tally.Counter
 	last    uint64
 }
 
-// NewDelta returns a TotalCounter for the counter with the given name.
-func (m *Metrics) NewDelta(name string) *Delta {
-	return &Delta{counter: m.scope.Counter(name)}
+// NewTotalCounter returns a TotalCounter for the counter with the given name.
+func (m *Metrics) NewTotalCounter(name string) *TotalCounter {
+	return &TotalCounter{counter: m.scope.Counter(name)}
 }
 
 // Set raises the counter to total. It ignores a total below the last one.
-func (d *Delta) Set(total uint64) {
+func (d *TotalCounter) Set(total uint64) {
 	if total > d.last {
 		d.counter.Inc(int64(total - d.last))
 		d.last = total
--- a/telemetry/trace.go
+++ b/telemetry/trace.go
@@ -60,9 +60,9 @@
 	return exp, f, err
 }
 
-// Span starts a span that is named after a hop, and returns it with a context
+// StartSpan starts a span that is named after a hop, and returns it with a context
 // that holds it.
-func Span(ctx context.Context, hop string) (context.Context, trace.Span) {
+func StartSpan(ctx context.Context, hop string) (context.Context, trace.Span) {
 	return otel.Tracer(tracerName).Start(ctx, hop)
 }
 
--- a/web/server_test.go
+++ b/web/server_test.go
@@ -22,7 +22,7 @@
 	if _, err := web.NewServer(web.Config{Name: "entry", Address: "127.0.0.1:0", MaxBytes: 1024, Trace: true}, nil); err != nil {
 		t.Fatal(err)
 	}
-	ctx, span := telemetry.Span(context.Background(), "submit")
+	ctx, span := telemetry.StartSpan(context.Background(), "submit")
 	if telemetry.Inject(ctx) == "" {
 		t.Error("the context of the span holds no trace to propagate")
 	}
