--- a/command/status.go
+++ b/command/status.go
@@ -62,7 +62,7 @@
 	_, _ = fmt.Fprintln(w, "TARGET\tSERVICE\tDATA CENTRE\tSTATE\tRUNNING\tSLOTS\tCREDITS\tMEAN MS\tAGENT\tWHY")
 	for _, a := range agents {
 		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%.1f\t%s\t%s\n",
-			a.Target, a.Service, a.DataCentre, a.State, a.Running, a.Slots, a.Credits, a.MeanMillis, a.ID, a.Why)
+			a.Target, a.Service, a.DataCentre, a.State, a.Running, a.Slots, a.Credits, a.MeanMillis, a.ID, a.Reason)
 	}
 }
 
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -218,9 +218,9 @@
 	return isNew
 }
 
-// End declares that a listed entry has ended for good. It reports whether the
+// MarkEnded declares that a listed entry has ended for good. It reports whether the
 // entry was listed and not known to have ended.
-func (e *Entry) End(ctx context.Context, id string) (isNew bool, err error) {
+func (e *Entry) MarkEnded(ctx context.Context, id string) (isNew bool, err error) {
 	return callCore(ctx, e, func(time.Time) bool { return e.endEntries(id) })
 }
 
--- a/entry/web_end.go
+++ b/entry/web_end.go
@@ -23,7 +23,7 @@
 		failWith(w, job.NotFound, "no other entry "+id+" is listed")
 		return
 	}
-	isNew, err := e.End(r.Context(), id)
+	isNew, err := e.MarkEnded(r.Context(), id)
 	if err != nil {
 		fail(w, err)
 		return
--- a/entry/web_status.go
+++ b/entry/web_status.go
@@ -40,7 +40,7 @@
 	Service       string  `json:"service"`
 	DataCentre    string  `json:"dataCentre"`
 	State         string  `json:"state"`
-	Why           string  `json:"why,omitempty"`
+	Reason        string  `json:"why,omitempty"`
 	Slots         int     `json:"slots"`
 	Running       int     `json:"running"`
 	Credits       int     `json:"credits"`
@@ -109,7 +109,7 @@
 	if l := e.core.agents[a.ID]; l != nil {
 		s.Target = l.info.Target
 	}
-	s.State, s.Why = agentState(a)
+	s.State, s.Reason = agentState(a)
 	return s
 }
 
--- a/failure/outage_test.go
+++ b/failure/outage_test.go
@@ -39,7 +39,7 @@
 		if n := s.runWorkload(&workload{prefix: "doubt", callers: 4, jobs: 1, tasks: 3, entries: others}); n.unanswered != n.total() {
 			t.Errorf("before the operator ended the entry, jobs were answered: %+v", n)
 		}
-		if isNew, err := s.entry(others[0]).End(t.Context(), dead); err != nil || !isNew {
+		if isNew, err := s.entry(others[0]).MarkEnded(t.Context(), dead); err != nil || !isNew {
 			t.Errorf("ending %s: new %t, %v", dead, isNew, err)
 		}
 		time.Sleep(10 * time.Second)
