--- a/site/agent.go
+++ b/site/agent.go
@@ -111,7 +111,7 @@
 	a.signalEvents()
 	a.mu.Unlock()
 	a.log.Info().Msg("agent stops: waits for its runs")
-	for ctx.Err() == nil && a.runCount() > 0 {
+	for ctx.Err() == nil && a.runsInProgress() > 0 {
 		select {
 		case <-ctx.Done():
 		case <-time.After(stopPollInterval):
@@ -119,7 +119,7 @@
 	}
 	// Leaves the homes time to learn of the last ends.
 	time.Sleep(stopPollInterval)
-	a.log.Info().Int("runs", a.runCount()).Msg("agent stopped")
+	a.log.Info().Int("runs", a.runsInProgress()).Msg("agent stopped")
 	a.Kill()
 	return nil
 }
@@ -138,7 +138,7 @@
 // stopPollInterval is how often Stop checks whether runs have ended.
 const stopPollInterval = 50 * time.Millisecond
 
-func (a *Agent) runCount() int {
+func (a *Agent) runsInProgress() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.guard.Running()
