--- a/bench/bench_test.go
+++ b/bench/bench_test.go
@@ -7,8 +7,8 @@
 )
 
 var (
-	table = flag.Bool("table", false, "print the table of all scenarios")
-	red   = flag.Bool("red", false, "also check the targets listed in KNOWN-RED.txt")
+	printTable    = flag.Bool("table", false, "print the table of all scenarios")
+	checkKnownRed = flag.Bool("red", false, "also check the targets listed in KNOWN-RED.txt")
 )
 
 // targetLimits are the highest figures that the users accept.
@@ -41,16 +41,16 @@
 	return sc
 }
 
-// check compares a result with its targets. Hillside is known to miss the target
+// checkTargets compares a result with its targets. Hillside is known to miss the target
 // for messages (KNOWN-RED.txt), so that one is checked only with -red.
-func check(t *testing.T, res *Result, want targetLimits) {
+func checkTargets(t *testing.T, res *Result, want targetLimits) {
 	t.Helper()
 	t.Log(res.Row())
 	if res.MeanRatio > want.mean || res.P99Ratio > want.p99 {
 		t.Errorf("%s: mean response time %.3f and p99 %.3f relative to the ideal; want at most %.2f and %.2f", res.Fault, res.MeanRatio, res.P99Ratio, want.mean, want.p99)
 	}
 	knownRed := res.Workload.Name == Hillside.Name
-	if res.MessagesPerTask > want.messages && (!knownRed || *red) {
+	if res.MessagesPerTask > want.messages && (!knownRed || *checkKnownRed) {
 		t.Errorf("%s: %.3f messages per task; want at most %.2f", res.Fault, res.MessagesPerTask, want.messages)
 	}
 	if res.StartedTwice > 0 {
@@ -64,7 +64,7 @@
 			t.Run(fmt.Sprintf("%s/%.0f", w.Name, 100*load), func(t *testing.T) {
 				t.Parallel()
 				res := Run(Scenario{Workload: w, Load: load, Fault: None, Strategy: Credits, Seed: 1})
-				check(t, &res, want)
+				checkTargets(t, &res, want)
 			})
 		}
 	}
@@ -76,7 +76,7 @@
 			t.Run(w.Name+"/"+string(f), func(t *testing.T) {
 				t.Parallel()
 				res := Run(scenario(w, f))
-				check(t, &res, faultTargets)
+				checkTargets(t, &res, faultTargets)
 				if f == FailAll && res.FailingTargetShare > maxFailingTargetShare {
 					t.Errorf("the failing target got %.4f of the starts; want at most %.2f", res.FailingTargetShare, maxFailingTargetShare)
 				}
@@ -85,8 +85,9 @@
 	}
 }
 
-// pairs returns scenarios with two faults at the same time.
-func pairs(w *Workload) (scs []Scenario) {
+// scenariosWithTwoFaults returns one scenario per fault, each with a second fault at
+// the same time.
+func scenariosWithTwoFaults(w *Workload) (scs []Scenario) {
 	faults := Faults[1:]
 	for i, f := range faults {
 		sc := scenario(w, f)
@@ -101,7 +102,7 @@
 // targets for the figures of such runs.
 func TestPairsOfFaults(t *testing.T) {
 	for _, w := range []*Workload{&Hillside, &RetourPlateau} {
-		for _, sc := range pairs(w) {
+		for _, sc := range scenariosWithTwoFaults(w) {
 			t.Run(w.Name+"/"+string(sc.Fault)+"+"+string(sc.SecondFault), func(t *testing.T) {
 				t.Parallel()
 				res := Run(sc)
@@ -137,7 +138,7 @@
 
 // TestTable prints the table of docs/MEASUREMENTS.md.
 func TestTable(t *testing.T) {
-	if !*table {
+	if !*printTable {
 		t.Skip("run with -table")
 	}
 	fmt.Println(Header)
@@ -152,7 +153,7 @@
 			res := Run(scenario(w, f))
 			fmt.Println(res.Row())
 		}
-		for _, sc := range pairs(w) {
+		for _, sc := range scenariosWithTwoFaults(w) {
 			res := Run(sc)
 			fmt.Println(res.Row())
 		}
--- a/bench/messages.go
+++ b/bench/messages.go
@@ -195,8 +195,8 @@
 	})
 }
 
-// recallCredits makes an entry return unspent credits, and calls
-// onReturned when the reply has arrived.
+// recallCredits makes an entry return unspent credits, and calls onReturned when
+// the reply has arrived.
 func (a *agent) recallCredits(e *entry, onReturned func()) {
 	s := a.sim
 	if e.dead {
--- a/bench/pattern.go
+++ b/bench/pattern.go
@@ -36,8 +36,8 @@
 	Name        string  `toml:"name"`
 	Priority    int     `toml:"priority"`
 	MaxAttempts int     `toml:"maxAttempts"`
-	Stretch     float64 `toml:"stretch"`
-	TargetMs    float64 `toml:"targetMs"`
+	Stretch     float64 `toml:"stretch"`  // as in work.Queue
+	TargetMs    float64 `toml:"targetMs"` // as Target in work.Queue
 	PerSecond   float64 `toml:"perSecond"`
 	Tasks       float64 `toml:"tasks"`  // mean number in a job
 	CPU         float64 `toml:"cpu"`    // mean of a task, in thousandths of cores
--- a/bench/replay_result.go
+++ b/bench/replay_result.go
@@ -11,8 +11,8 @@
 	"masticbay/work"
 )
 
-// ReplayResult holds the figures of a replay. Its shares are parts of the worth of
-// all jobs that was earned by answers in time.
+// ReplayResult holds the figures of a replay. A share is the part of the worth of a
+// set of jobs that their answers earned; see lateWorth.
 type ReplayResult struct {
 	Pattern      string
 	Queues       []QueueResult
--- a/bench/replay_test.go
+++ b/bench/replay_test.go
@@ -19,7 +19,7 @@
 		change(r)
 	}
 	res := r.run()
-	if *table {
+	if *printTable {
 		if err := res.Write(os.Stdout); err != nil {
 			t.Error(err)
 		}
--- a/bench/replay_worker.go
+++ b/bench/replay_worker.go
@@ -40,7 +40,7 @@
 // Times of the simulated processes.
 const (
 	messageDelay     = time.Millisecond      // of a message between two processes
-	pollInterval     = 50 * time.Millisecond // of polls without an end: an agent has two polls of 100 ms open at a time
+	pollInterval     = 50 * time.Millisecond // between polls that report no end: an agent has two long polls of 100 ms open at a time
 	stopDelay        = 30 * time.Millisecond // until a run has stopped, which takes at most 50 ms
 	homeTickInterval = 10 * time.Millisecond // of a home that has work
 )
@@ -155,7 +155,7 @@
 		snapshot.Running[m.run] = int(100 * float64(m.total-m.remaining) / float64(m.total))
 	}
 	w.ended = nil
-	w.guard.LeaseUntil(now)
+	w.guard.LeaseUntil(now) // records the lease that the poll grants
 	w.guard.PollAnswered(now, snapshot)
 	w.performOrders()
 	w.replay.sendReport(w)
--- a/failure/fleet_config_test.go
+++ b/failure/fleet_config_test.go
@@ -24,9 +24,9 @@
 	return q
 }
 
-// inForce returns the newest version, up to the given one, that an entry has in
+// versionInForce returns the newest version, up to the given one, that an entry has in
 // force, or 0 if the entry does not answer.
-func (s *fleet) inForce(c *http.Client, entry, newest int) int {
+func (s *fleet) versionInForce(c *http.Client, entry, newest int) int {
 	for v := newest; v > 0; v-- {
 		ctx, cancel := context.WithTimeout(s.ctx, 200*time.Millisecond)
 		r, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://f%d/v%d/", entry, v), nil)
@@ -53,8 +53,8 @@
 // which version it has in force.
 func TestConfigurationIsInForceAndNeverReverts(t *testing.T) {
 	cases := []struct {
-		name  string
-		fault func(s *fleet)
+		name   string
+		inject func(s *fleet)
 	}{
 		{"nothing fails", func(*fleet) {}},
 		{"watches hear nothing", func(s *fleet) { s.store.SetFaults(standin.StoreFaults{DropWatchEvents: true}) }},
@@ -66,7 +66,7 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			runWithFleet(t, func(_ *testing.T, s *fleet) {
-				time.AfterFunc(4*time.Second, func() { tc.fault(s) })
+				time.AfterFunc(4*time.Second, func() { tc.inject(s) })
 				s.checkConfigChanges(5)
 				s.store.SetFaults(standin.StoreFaults{})
 			})
@@ -87,7 +87,7 @@
 		for time.Since(written) < 3*time.Second {
 			for i := range fleetEntries {
 				elapsed := time.Since(written)
-				current := s.inForce(c, i, v)
+				current := s.versionInForce(c, i, v)
 				if current > 0 && current < highest[i] {
 					s.t.Errorf("entry %d: version %d in force after version %d", i, current, highest[i])
 				}
@@ -116,7 +116,7 @@
 		time.Sleep(time.Second)
 		s.startEntry(2)
 		time.Sleep(time.Second)
-		if current := s.inForce(c, 2, 2); current != 2 {
+		if current := s.versionInForce(c, 2, 2); current != 2 {
 			t.Errorf("version %d in force, want 2", current)
 		}
 		s.store.SetFaults(standin.StoreFaults{})
--- a/failure/fleet_faults_test.go
+++ b/failure/fleet_faults_test.go
@@ -30,7 +30,7 @@
 type fleetFault struct {
 	name     string
 	minShare float64 // share of the requests that must still complete
-	fault    func(s *fleet)
+	inject   func(s *fleet)
 }
 
 var fleetFaults = []fleetFault{
@@ -109,7 +109,7 @@
 				go func() {
 					defer close(done)
 					time.Sleep(time.Second)
-					tc.fault(s)
+					tc.inject(s)
 				}()
 				s.load(6*time.Second, 0, 1, 2)
 				<-done
--- a/failure/fleet_pairs_test.go
+++ b/failure/fleet_pairs_test.go
@@ -40,7 +40,7 @@
 				for i, f := range p {
 					faults.Go(func() {
 						time.Sleep(time.Second + time.Duration(i)*faultDelay)
-						f.fault(s)
+						f.inject(s)
 					})
 				}
 				s.load(6*time.Second, 0, 1, 2)
--- a/failure/fleet_stored_test.go
+++ b/failure/fleet_stored_test.go
@@ -226,7 +226,7 @@
 				go func() {
 					defer close(done)
 					time.Sleep(time.Second)
-					tc.fault(s)
+					tc.inject(s)
 				}()
 				j := s.loadStored(5 * time.Second)
 				<-done
--- a/failure/network_test.go
+++ b/failure/network_test.go
@@ -55,10 +55,10 @@
 // blackholeOpenConns makes all open connections drop their data, without a reset.
 func (n *network) blackholeOpenConns() { n.update(func() { n.blackholedBefore = time.Now() }) }
 
-func (n *network) isBlackholed(made time.Time) bool {
+func (n *network) isBlackholed(openedAt time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return made.Before(n.blackholedBefore)
+	return openedAt.Before(n.blackholedBefore)
 }
 
 // blocked reports whether a link holds its data back. It also returns a channel
--- a/integration/drain_test.go
+++ b/integration/drain_test.go
@@ -44,7 +44,7 @@
 // startCount returns the number of task starts in the journal of a target.
 func (s *site) startCount(i int) (n int) {
 	s.t.Helper()
-	f, err := os.Open(s.journal(i))
+	f, err := os.Open(s.journalPath(i))
 	if err != nil {
 		s.t.Fatal(err)
 	}
--- a/integration/site_test.go
+++ b/integration/site_test.go
@@ -65,7 +65,7 @@
 	free := freeAddresses(t, 1+2*entries+4*agents)
 	next := func() string { a := free[0]; free = free[1:]; return a }
 	s.platform = next()
-	s.write("platform", "role = \"platform\"\nhttp = %q\n", s.platform)
+	s.writeConfig("platform", "role = \"platform\"\nhttp = %q\n", s.platform)
 	var rpcs []string
 	for range entries {
 		s.entries = append(s.entries, next())
@@ -74,15 +74,15 @@
 	list := `["` + strings.Join(rpcs, `", "`) + `"]`
 	policy := fmt.Sprintf("[policy]\nwindow = %q\nheartbeat = \"500ms\"\npeerInterval = \"200ms\"\nunclearLimit = \"3s\"\nclaimLimit = \"1s\"\n", window)
 	for i := range entries {
-		s.write(processName("entry", i), "role = \"entry\"\nhttp = %q\nrpc = %q\nplatform = \"http://%s\"\npeers = %s\n%s[limits]\ndeadline = %q\n",
+		s.writeConfig(processName("entry", i), "role = \"entry\"\nhttp = %q\nrpc = %q\nplatform = \"http://%s\"\npeers = %s\n%s[limits]\ndeadline = %q\n",
 			s.entries[i], rpcs[i], s.platform, list, policy, window)
 	}
 	for i := range agents {
 		rpc, advertise, agentHTTP, targetHTTP := next(), next(), next(), next()
 		s.addProxy(advertise, rpc)
-		s.write(processName("agent", i), "role = \"agent\"\nrpc = %q\nadvertise = %q\nhttp = %q\nentries = %s\n%s", rpc, advertise, agentHTTP, list, policy)
-		s.write(processName("target", i), "role = \"target\"\nhttp = %q\nagent = \"http://%s\"\nname = \"desk%d\"\njournal = %q\nmedian = \"60ms\"\nannounce = \"200ms\"\nseed = %d\n",
-			targetHTTP, agentHTTP, i, s.journal(i), i)
+		s.writeConfig(processName("agent", i), "role = \"agent\"\nrpc = %q\nadvertise = %q\nhttp = %q\nentries = %s\n%s", rpc, advertise, agentHTTP, list, policy)
+		s.writeConfig(processName("target", i), "role = \"target\"\nhttp = %q\nagent = \"http://%s\"\nname = \"desk%d\"\njournal = %q\nmedian = \"60ms\"\nannounce = \"200ms\"\nseed = %d\n",
+			targetHTTP, agentHTTP, i, s.journalPath(i), i)
 	}
 	s.start("platform", "platform")
 	for i := range entries {
@@ -110,9 +110,9 @@
 	return addrs
 }
 
-func (s *site) journal(i int) string { return filepath.Join(s.dir, processName("journal", i)) }
+func (s *site) journalPath(i int) string { return filepath.Join(s.dir, processName("journal", i)) }
 
-func (s *site) write(file, format string, args ...any) {
+func (s *site) writeConfig(file, format string, args ...any) {
 	s.t.Helper()
 	text := fmt.Sprintf(format, args...)
 	if err := os.WriteFile(filepath.Join(s.dir, file+".toml"), []byte(text), 0o600); err != nil {
@@ -130,11 +130,11 @@
 	s.agentProxies = append(s.agentProxies, p)
 }
 
-// start starts a process with the configuration file and the log of that name.
-func (s *site) start(role, file string) {
+// start starts a process with the configuration file and the log file of its name.
+func (s *site) start(role, name string) {
 	s.t.Helper()
-	cmd := exec.Command(binary, role, "--config", filepath.Join(s.dir, file+".toml"))
-	out, err := os.OpenFile(filepath.Join(s.dir, file+".log"), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
+	cmd := exec.Command(binary, role, "--config", filepath.Join(s.dir, name+".toml"))
+	out, err := os.OpenFile(filepath.Join(s.dir, name+".log"), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -145,30 +145,32 @@
 	_ = out.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.processes[file] = cmd
+	s.processes[name] = cmd
 }
 
-func (s *site) signal(file string, sig os.Signal) *exec.Cmd {
+func (s *site) signal(name string, sig os.Signal) *exec.Cmd {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	cmd := s.processes[file]
+	cmd := s.processes[name]
 	if err := cmd.Process.Signal(sig); err != nil {
-		s.t.Errorf("signalling %s: %v", file, err)
+		s.t.Errorf("signalling %s: %v", name, err)
 	}
 	return cmd
 }
 
 // kill kills a process and waits for its end.
-func (s *site) kill(file string) { _ = s.signal(file, syscall.SIGKILL).Wait() }
+func (s *site) kill(name string) { _ = s.signal(name, syscall.SIGKILL).Wait() }
 
 // stop sends SIGTERM to a process, which must then exit with the code 0.
-func (s *site) stop(file string) {
+func (s *site) stop(name string) {
 	s.t.Helper()
-	if err := s.signal(file, syscall.SIGTERM).Wait(); err != nil {
-		s.t.Errorf("planned stop of %s: %v", file, err)
+	if err := s.signal(name, syscall.SIGTERM).Wait(); err != nil {
+		s.t.Errorf("planned stop of %s: %v", name, err)
 	}
 }
 
+// close kills all processes, and logs the start of their output if the test has
+// failed.
 func (s *site) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -193,22 +195,23 @@
 	return load.Status(context.Background(), s.url(i))
 }
 
-// await waits until cond holds at entry i.
-func (s *site) await(i int, what string, cond func(entry.StatusReply) bool) {
+// await waits until cond holds at entry i. The description of the condition is for
+// the message of a failure.
+func (s *site) await(i int, description string, cond func(entry.StatusReply) bool) {
 	s.t.Helper()
 	for deadline := time.Now().Add(awaitTimeout); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		if st, err := s.status(i); err == nil && cond(st) {
 			return
 		}
 	}
-	s.t.Fatalf("entry %d: %s: condition not met in %v", i, what, awaitTimeout)
+	s.t.Fatalf("entry %d: %s: condition not met in %v", i, description, awaitTimeout)
 }
 
 // awaitAll waits until cond holds at every entry.
-func (s *site) awaitAll(what string, cond func(entry.StatusReply) bool) {
+func (s *site) awaitAll(description string, cond func(entry.StatusReply) bool) {
 	s.t.Helper()
 	for i := range s.entries {
-		s.await(i, what, cond)
+		s.await(i, description, cond)
 	}
 }
 
@@ -252,7 +255,7 @@
 	mu         sync.Mutex // guards what follows
 	answers    []job.Answer
 	unanswered int
-	refusals   map[string]int
+	callErrors map[string]int
 }
 
 func (w *workload) run() {
@@ -269,15 +272,15 @@
 
 // submit submits one job until it is answered. After a refusal it waits as long as
 // the refusal asks.
-func (w *workload) submit(i, n int) {
+func (w *workload) submit(caller, n int) {
 	req := entry.SubmitRequest{
-		Key: fmt.Sprintf("%s-%d-%d", w.prefix, i, n), Team: "laval", Service: "pickup",
+		Key: fmt.Sprintf("%s-%d-%d", w.prefix, caller, n), Team: "laval", Service: "pickup",
 		Idempotent: n%4 == 3, Tasks: make([]entry.TaskRequest, w.tasks),
 	}
 	var err error
 	for deadline, attempt := time.Now().Add(awaitTimeout), 0; time.Now().Before(deadline); attempt++ {
 		var ans job.Answer
-		ans, err = load.Submit(context.Background(), w.site.url((i+n+attempt)%len(w.site.entries)), &req)
+		ans, err = load.Submit(context.Background(), w.site.url((caller+n+attempt)%len(w.site.entries)), &req)
 		if err == nil {
 			w.mu.Lock()
 			defer w.mu.Unlock()
@@ -285,7 +288,7 @@
 			return
 		}
 		req.Resubmission = true
-		w.countRefusal(err)
+		w.countCallError(err)
 		pause := 50 * time.Millisecond
 		if refused, ok := errors.AsType[*load.RefusedError](err); ok {
 			pause = max(pause, time.Duration(refused.RetryAfter*float64(time.Second)))
@@ -298,14 +301,14 @@
 	w.site.t.Log(err)
 }
 
-// countRefusal counts the errors after which callers resubmitted.
-func (w *workload) countRefusal(err error) {
+// countCallError counts the errors after which callers resubmitted.
+func (w *workload) countCallError(err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.refusals == nil {
-		w.refusals = make(map[string]int)
+	if w.callErrors == nil {
+		w.callErrors = make(map[string]int)
 	}
-	w.refusals[errors.Cause(err).Error()]++
+	w.callErrors[errors.Cause(err).Error()]++
 }
 
 // checkAnswers compares the answers with the journals of the targets. It returns
@@ -328,7 +331,7 @@
 	}
 	var answers []job.Answer
 	for _, w := range workloads {
-		s.t.Logf("%s: resubmitted after %v", w.prefix, w.refusals)
+		s.t.Logf("%s: resubmitted after %v", w.prefix, w.callErrors)
 		answers = append(answers, w.answers...)
 		if w.unanswered > 0 {
 			s.t.Errorf("%d submissions got no answer", w.unanswered)
